--- a/cmd/sardinelock/cmd/settings.go
+++ b/cmd/sardinelock/cmd/settings.go
@@ -219,11 +219,11 @@
 			Window:           dedupWindow + 2*clockDifference,
 			Witnesses:        witnesses,
 		},
-		StartBudget:      startBudget,
-		SuspectAfter:     suspectAfter,
-		PingEntriesEvery: pingEntries,
-		SteadyAfter:      steadyAfter,
-		AnswerSlack:      answerSlack,
+		StartTimeout:           startBudget,
+		SuspicionTimeout:       suspectAfter,
+		EntryHeartbeatInterval: pingEntries,
+		MinConnectionAge:       steadyAfter,
+		AnswerGracePeriod:      answerSlack,
 	}
 }
 
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -117,7 +117,7 @@
 		a.follower.Receive(now, entry, f.Config)
 	}
 	if f.Expel != nil && !a.guard.Expelled() {
-		a.settings.Logger.Warn().Str("entry", string(entry)).Uint64("roster", f.Expel.Roster).
+		a.settings.Logger.Warn().Str("entry", string(entry)).Uint64("roster", f.Expel.RosterVersion).
 			Msg("an operator has declared this agent dead; it starts no task until it is restarted")
 	}
 	a.guard.Receive(now, entry, f)
--- a/internal/applier/applier.go
+++ b/internal/applier/applier.go
@@ -121,7 +121,7 @@
 		p.version = m.Version
 		p.since = now.Add(-m.Age)
 	}
-	p.fresh = m.Fresh
+	p.fresh = m.SourceReachable
 	if m.Version > a.highest {
 		a.show(m.Version)
 		a.dirty = true
@@ -129,7 +129,7 @@
 	if p.hello.Role != messenger.RoleEntry {
 		return
 	}
-	if m.Want > 0 {
+	if m.WantVersion > 0 {
 		p.wants = true
 		a.dirty = true
 	}
@@ -223,10 +223,10 @@
 	p := have[a.asked%len(have)]
 	a.asked++
 	a.out.Sends = append(a.out.Sends, Send{To: p.hello.Peer, Config: &messenger.Config{
-		Version: a.inForce.Number,
-		Fresh:   a.wasFresh,
-		Age:     a.age(now),
-		Want:    a.highest,
+		Version:         a.inForce.Number,
+		SourceReachable: a.wasFresh,
+		Age:             a.age(now),
+		WantVersion:     a.highest,
 	}})
 }
 
@@ -240,7 +240,7 @@
 		return
 	}
 	p.told, p.toldFresh, p.toldAt = a.inForce.Number, a.wasFresh, now
-	m := &messenger.Config{Version: a.inForce.Number, Fresh: a.wasFresh, Age: a.age(now)}
+	m := &messenger.Config{Version: a.inForce.Number, SourceReachable: a.wasFresh, Age: a.age(now)}
 	if answer {
 		m.Document = a.inForce.Text
 	}
--- a/internal/applier/follower.go
+++ b/internal/applier/follower.go
@@ -65,7 +65,7 @@
 		return
 	}
 	s := f.entries[i]
-	s.fresh = m.Fresh
+	s.fresh = m.SourceReachable
 	f.show(m.Version)
 	if len(m.Document) > 0 {
 		before := f.inForce.Number
@@ -124,7 +124,7 @@
 }
 
 func (f *Follower) report(now time.Time) *messenger.Config {
-	return &messenger.Config{Version: f.inForce.Number, Fresh: f.wasFresh, Age: f.age(now)}
+	return &messenger.Config{Version: f.inForce.Number, SourceReachable: f.wasFresh, Age: f.age(now)}
 }
 
 // owe notes that every entry is to be told the present state.
--- a/internal/assigner/agent.go
+++ b/internal/assigner/agent.go
@@ -46,7 +46,7 @@
 // ahead is the room of one launch.
 type ahead struct {
 	sequence uint64
-	room     messenger.Room
+	room     messenger.Resources
 }
 
 // sorted returns the tasks at the agent in a fixed order.
@@ -74,7 +74,7 @@
 	a.resolveDeparted(now)
 	g := &agent{
 		peer: peer, instance: instance, dataCentre: dataCentre, heardAt: now, sentAt: now,
-		emptyAt: now - a.limits.RestAfter, tasks: make(map[messenger.TaskRef]*task),
+		emptyAt: now - a.limits.IdleThreshold, tasks: make(map[messenger.TaskRef]*task),
 	}
 	a.agents[peer] = g
 	a.order = append(a.order, g)
@@ -97,7 +97,7 @@
 	if len(g.tasks) == 0 {
 		return
 	}
-	d := departure{instance: g.instance, until: max(g.heardAt, g.filledAt+wakeSlack) + a.limits.Gone}
+	d := departure{instance: g.instance, until: max(g.heardAt, g.filledAt+wakeSlack) + a.limits.LeaseExpiry}
 	d.tasks = g.sorted()
 	for _, t := range d.tasks {
 		t.state = stateDeparted
@@ -141,7 +141,7 @@
 // checkAgents closes the connections of agents that are silent.
 func (a *Assigner) checkAgents(now time.Duration) {
 	for _, g := range slices.Clone(a.order) {
-		if a.silence(now, g) > a.limits.Silence {
+		if a.silence(now, g) > a.limits.LivenessTimeout {
 			a.decide(Decision{Event: "agent-silent", Instance: g.instance, Age: now - g.heardAt})
 			a.out.Closes = append(a.out.Closes, g.peer)
 			a.AgentDown(now, g.peer)
@@ -162,15 +162,15 @@
 func (a *Assigner) silence(now time.Duration, g *agent) time.Duration {
 	silence := now - max(g.heardAt, g.wokenAt)
 	// The agent begins its rest later or earlier than the entry, by the way of a frame.
-	if a.rested(now, g, a.limits.RestAfter/2) {
-		silence -= a.limits.RestBeat
+	if a.rested(now, g, a.limits.IdleThreshold/2) {
+		silence -= a.limits.IdleHeartbeatInterval
 	}
 	return silence
 }
 
 // doubtful reports whether an agent has been silent for so long that nothing is sent to it.
 func (a *Assigner) doubtful(now time.Duration, g *agent) bool {
-	return a.silence(now, g) > a.limits.Doubt
+	return a.silence(now, g) > a.limits.SuspicionTimeout
 }
 
 // Receive takes a frame of an agent.
@@ -193,14 +193,14 @@
 }
 
 func (a *Assigner) loaded(g *agent, l *messenger.Load) {
-	if !g.known || g.load.State != l.State || g.load.Life != l.Life {
+	if !g.known || g.load.State != l.State || g.load.Incarnation != l.Incarnation {
 		a.decide(Decision{Event: "upstream-state", Instance: g.instance, Reason: string(l.State)})
 	}
-	if l.Capacity == (messenger.Room{}) {
+	if l.Capacity == (messenger.Resources{}) {
 		l.Capacity = g.load.Capacity
 	}
 	g.load, g.known = *l, true
-	g.ahead = slices.DeleteFunc(g.ahead, func(h ahead) bool { return h.sequence <= l.Seen })
+	g.ahead = slices.DeleteFunc(g.ahead, func(h ahead) bool { return h.sequence <= l.LaunchesReceived })
 }
 
 // ended takes the end of a run.
@@ -215,8 +215,8 @@
 	t.agent = nil
 	switch e.Kind {
 	case messenger.EndDone:
-		a.queue(j.Queue).learn(t.step.Declared, e.Took)
-		a.meanRun += time.Duration(learnWeight * float64(e.Took-a.meanRun))
+		a.queue(j.Queue).learn(t.step.DeclaredRunTime, e.RunTime)
+		a.meanRun += time.Duration(learnWeight * float64(e.RunTime-a.meanRun))
 		a.done(now, t)
 		return
 	case messenger.EndFailed:
@@ -230,7 +230,7 @@
 		t.avoid = append(t.avoid, g.instance)
 	}
 	if !j.answered {
-		a.decide(Decision{Event: "task-ended", Task: t.ref, Run: t.run, Instance: g.instance, Reason: string(e.Kind), Age: e.Took})
+		a.decide(Decision{Event: "task-ended", Task: t.ref, Run: t.run, Instance: g.instance, Reason: string(e.Kind), Age: e.RunTime})
 	}
 	ran := e.Kind.Ran() && (e.Kind != messenger.EndWithdrawn || e.Started)
 	a.resolve(now, t, ran)
--- a/internal/assigner/assigner.go
+++ b/internal/assigner/assigner.go
@@ -27,48 +27,48 @@
 type Limits struct {
 	// Gone is how long after it was last heard an agent has certainly stopped
 	// everything that it ran for this entry.
-	Gone time.Duration
+	LeaseExpiry time.Duration
 	// Doubt is how long an agent may be silent until nothing more is sent to it.
-	Doubt time.Duration
+	SuspicionTimeout time.Duration
 	// Silence is how long an agent may be silent until its connection is closed.
-	Silence time.Duration
+	LivenessTimeout time.Duration
 	// BeatEvery is the longest time between two frames to an agent.
-	BeatEvery time.Duration
+	HeartbeatInterval time.Duration
 	// RestBeat is that time for an agent that has had no task for RestAfter. It may be
 	// silent for as much longer.
-	RestBeat  time.Duration
-	RestAfter time.Duration
+	IdleHeartbeatInterval time.Duration
+	IdleThreshold         time.Duration
 	// AnswerSlack is how long before its deadline a job is given up, so that the
 	// answer reaches the caller.
-	AnswerSlack time.Duration
+	AnswerMargin time.Duration
 	// Remote is the time that the way to another data centre takes.
-	Remote time.Duration
+	CrossDataCentreLatency time.Duration
 }
 
 // Step is a set of equal tasks.
 type Step struct {
-	Count          int
-	Room           messenger.Room
-	Declared       time.Duration // Declared is how long the caller expects a task to run.
-	After          []int         // After has the steps whose tasks must be done first.
-	Label          string        // Label must be one of the upstream's, unless it is empty.
-	Rack           string        // Rack is the label of the rack that has the data, if any.
-	MaxPerUpstream int           // MaxPerUpstream bounds the tasks that run at one upstream; 0 does not.
+	Count           int
+	Resources       messenger.Resources
+	DeclaredRunTime time.Duration // Declared is how long the caller expects a task to run.
+	After           []int         // After has the steps whose tasks must be done first.
+	Label           string        // Label must be one of the upstream's, unless it is empty.
+	Rack            string        // Rack is the label of the rack that has the data, if any.
+	MaxPerUpstream  int           // MaxPerUpstream bounds the tasks that run at one upstream; 0 does not.
 }
 
 // Job is an ephemeral job.
 type Job struct {
-	ID          string // ID names the job at the upstreams as well.
-	Queue       string // Queue names the kind of job, for what is learned and for logs.
-	Service     string
-	Payload     string
-	Priority    int // Priority is that of the queue; 0 comes first.
-	Steps       []Step
-	Stretch     float64       // Stretch is how often a job may take its longest chain of work.
-	Allowance   time.Duration // Allowance is what it may take besides.
-	Patience    time.Duration // Patience is how long the caller waits.
-	MaxAttempts int           // MaxAttempts is how often a task may fail.
-	Ticket      uint64        // Ticket names the caller's request; each request has its own.
+	ID               string // ID names the job at the upstreams as well.
+	Queue            string // Queue names the kind of job, for what is learned and for logs.
+	Service          string
+	Payload          string
+	Priority         int // Priority is that of the queue; 0 comes first.
+	Steps            []Step
+	SlowdownFactor   float64       // Stretch is how often a job may take its longest chain of work.
+	LatencyAllowance time.Duration // Allowance is what it may take besides.
+	CallerTimeout    time.Duration // Patience is how long the caller waits.
+	MaxAttempts      int           // MaxAttempts is how often a task may fail.
+	Ticket           uint64        // Ticket names the caller's request; each request has its own.
 }
 
 // Outcome says how a job was answered.
@@ -185,7 +185,7 @@
 
 // Room returns the capacity of the upstreams that are ready, and what is in use or
 // asked for there.
-func (a *Assigner) Room() (capacity, used messenger.Room) {
+func (a *Assigner) Resources() (capacity, used messenger.Resources) {
 	for _, g := range a.order {
 		if g.known && g.load.State == messenger.RunnerReady {
 			capacity = capacity.Add(g.load.Capacity)
@@ -218,7 +218,7 @@
 }
 
 // Waiting returns the number of a queue's jobs of which no task was launched.
-func (a *Assigner) Waiting(queue string) int {
+func (a *Assigner) WaitingJobs(queue string) int {
 	n := 0
 	for _, j := range a.jobs {
 		if j.Queue == queue && !j.answered && !j.launched {
@@ -269,7 +269,7 @@
 }
 
 // Take returns what must be done since the last call.
-func (a *Assigner) Take(now time.Duration) Output {
+func (a *Assigner) Advance(now time.Duration) Output {
 	a.checkAgents(now)
 	a.watch(now)
 	a.resolveDeparted(now)
--- a/internal/assigner/assigner_test.go
+++ b/internal/assigner/assigner_test.go
@@ -12,8 +12,8 @@
 )
 
 var testLimits = Limits{
-	Gone: 1500 * time.Millisecond, Doubt: 400 * time.Millisecond, Silence: 600 * time.Millisecond,
-	BeatEvery: time.Hour, AnswerSlack: 30 * time.Millisecond, Remote: 3 * time.Millisecond,
+	LeaseExpiry: 1500 * time.Millisecond, SuspicionTimeout: 400 * time.Millisecond, LivenessTimeout: 600 * time.Millisecond,
+	HeartbeatInterval: time.Hour, AnswerMargin: 30 * time.Millisecond, CrossDataCentreLatency: 3 * time.Millisecond,
 }
 
 // TestScripts runs the scripts of the data files. Each line is an event; the output
@@ -83,22 +83,22 @@
 		job, index, _ := strings.Cut(a[1], "/")
 		s.assigner.Receive(s.now, s.peer(a[0]), &messenger.Frame{Ends: []messenger.End{{
 			Task: messenger.TaskRef{Job: job, Index: int(scripter.Number(s.t, index))}, Run: uint64(scripter.Number(s.t, a[2])),
-			Kind: messenger.EndKind(a[3]), Took: 100 * time.Millisecond, Started: true,
+			Kind: messenger.EndKind(a[3]), RunTime: 100 * time.Millisecond, Started: true,
 		}}})
 	case "leave":
-		s.assigner.Leave(s.now, a[0], uint64(scripter.Number(s.t, a[1])))
+		s.assigner.CallerLeft(s.now, a[0], uint64(scripter.Number(s.t, a[1])))
 	case "cancel":
 		fmt.Fprintf(&s.out, "known %v\n", s.assigner.Cancel(s.now, a[0]))
 	case "entries":
 		s.assigner.SetEntries(int(scripter.Number(s.t, a[0])))
 	case "rests":
 		l := testLimits
-		l.RestBeat, l.RestAfter = 1200*time.Millisecond, 2*time.Second
+		l.IdleHeartbeatInterval, l.IdleThreshold = 1200*time.Millisecond, 2*time.Second
 		s.assigner = New(l, "dc-1", rand.New(rand.NewPCG(1, 1)))
 	case "close":
-		s.assigner.Close()
+		s.assigner.StopAdmitting()
 	case "give-up":
-		s.assigner.GiveUp(s.now)
+		s.assigner.AbandonAll(s.now)
 	default:
 		s.t.Fatalf("line %d: unknown verb %q", l.Number, l.Verb)
 	}
@@ -107,12 +107,12 @@
 
 func (s *script) load(a []string) {
 	l := &messenger.Load{
-		Life: s.lives[a[0]], Service: "quote", State: messenger.RunnerState(a[1]), Seen: s.seen[a[0]],
-		Capacity: messenger.Room{MilliCPU: scripter.Number(s.t, a[2]), MemoryBytes: 1 << 30},
-		Used:     messenger.Room{MilliCPU: scripter.Number(s.t, a[3])}, Pace: 100,
+		Incarnation: s.lives[a[0]], Service: "quote", State: messenger.RunnerState(a[1]), LaunchesReceived: s.seen[a[0]],
+		Capacity: messenger.Resources{MilliCPU: scripter.Number(s.t, a[2]), MemoryBytes: 1 << 30},
+		Used:     messenger.Resources{MilliCPU: scripter.Number(s.t, a[3])}, RelativeRunTimePercent: 100,
 	}
 	if len(a) > 4 {
-		l.Pace = scripter.Number(s.t, a[4])
+		l.RelativeRunTimePercent = scripter.Number(s.t, a[4])
 	}
 	l.Labels = a[min(len(a), 5):]
 	s.assigner.Receive(s.now, s.peer(a[0]), &messenger.Frame{Load: l, Stamp: &messenger.Stamp{Clock: s.now}})
@@ -120,9 +120,9 @@
 
 func (s *script) submit(a []string) {
 	j := Job{
-		ID: a[0], Queue: "q", Service: "quote", Stretch: 1.6, Allowance: 60 * time.Millisecond,
-		Patience: 2 * time.Second, MaxAttempts: 2, Ticket: uint64(scripter.Number(s.t, a[1])),
-		Steps: []Step{{Count: int(scripter.Number(s.t, a[2])), Room: messenger.Room{MilliCPU: scripter.Number(s.t, a[3])}, Declared: scripter.Duration(s.t, a[4])}},
+		ID: a[0], Queue: "q", Service: "quote", SlowdownFactor: 1.6, LatencyAllowance: 60 * time.Millisecond,
+		CallerTimeout: 2 * time.Second, MaxAttempts: 2, Ticket: uint64(scripter.Number(s.t, a[1])),
+		Steps: []Step{{Count: int(scripter.Number(s.t, a[2])), Resources: messenger.Resources{MilliCPU: scripter.Number(s.t, a[3])}, DeclaredRunTime: scripter.Duration(s.t, a[4])}},
 	}
 	if len(a) > 5 {
 		j.Priority = int(scripter.Number(s.t, a[5]))
@@ -134,7 +134,7 @@
 }
 
 func (s *script) print() {
-	out := s.assigner.Take(s.now)
+	out := s.assigner.Advance(s.now)
 	for _, send := range out.Sends {
 		instance, _, _ := strings.Cut(string(send.To), ".")
 		for _, l := range send.Frame.Launches {
--- a/internal/assigner/job.go
+++ b/internal/assigner/job.go
@@ -88,7 +88,7 @@
 	chain := make([]time.Duration, len(s.Steps))
 	for i := range s.Steps {
 		step := &s.Steps[i]
-		expected := q.expect(step.Declared)
+		expected := q.expect(step.DeclaredRunTime)
 		var before time.Duration
 		for _, b := range step.After {
 			before = max(before, chain[b])
@@ -103,9 +103,9 @@
 			})
 		}
 	}
-	objective := time.Duration(s.Stretch*float64(j.expected)) + s.Allowance
+	objective := time.Duration(s.SlowdownFactor*float64(j.expected)) + s.LatencyAllowance
 	j.objective = now + objective
-	j.deadline = now + s.Patience - a.limits.AnswerSlack
+	j.deadline = now + s.CallerTimeout - a.limits.AnswerMargin
 	j.useless = min(j.deadline, now+lateFactor*objective)
 	return j
 }
@@ -153,7 +153,7 @@
 }
 
 // Leave takes the end of a caller's connection: nobody waits for the answer.
-func (a *Assigner) Leave(now time.Duration, id string, ticket uint64) {
+func (a *Assigner) CallerLeft(now time.Duration, id string, ticket uint64) {
 	for j := a.jobs[id]; j != nil; j = j.next {
 		if j.Ticket == ticket && !j.answered {
 			j.answered = true
@@ -187,10 +187,10 @@
 }
 
 // Close makes the assigner reject what comes from now on.
-func (a *Assigner) Close() { a.closing = true }
+func (a *Assigner) StopAdmitting() { a.closing = true }
 
 // GiveUp ends every job that has no answer, for the end of the process.
-func (a *Assigner) GiveUp(now time.Duration) {
+func (a *Assigner) AbandonAll(now time.Duration) {
 	for _, j := range a.sortedJobs() {
 		if !j.answered {
 			a.abandon(now, j, "shutting-down", 0)
--- a/internal/assigner/place.go
+++ b/internal/assigner/place.go
@@ -89,7 +89,7 @@
 // asksMore reports whether a task asks for as much as another one or more, of the same
 // upstreams.
 func (t *task) asksMore(o *task) bool {
-	return t.job.Service == o.job.Service && t.step.Label == o.step.Label && o.step.Room.Fits(t.step.Room)
+	return t.job.Service == o.job.Service && t.step.Label == o.step.Label && o.step.Resources.Fits(t.step.Resources)
 }
 
 // maxLooks bounds the upstreams with room that are compared for a task, and as many
@@ -114,14 +114,14 @@
 		if next++; next == len(a.order) {
 			next = 0
 		}
-		if others >= maxLooks && t.step.Room.MilliCPU > a.spares[at] {
+		if others >= maxLooks && t.step.Resources.MilliCPU > a.spares[at] {
 			continue
 		}
 		g := a.order[at]
 		if !a.eligible(now, t, g) {
 			continue
 		}
-		wait := g.wait(t.step.Room, a.meanRun)
+		wait := g.wait(t.step.Resources, a.meanRun)
 		cost := wait + a.cost(t, g)
 		if wait > lookAhead {
 			others++
@@ -192,7 +192,7 @@
 
 // suits reports whether an upstream has the label and the size for a step.
 func (s *Step) suits(l *messenger.Load) bool {
-	return s.Room.Fits(l.Capacity) && (s.Label == "" || slices.Contains(l.Labels, s.Label))
+	return s.Resources.Fits(l.Capacity) && (s.Label == "" || slices.Contains(l.Labels, s.Label))
 }
 
 func (t *task) belowMost(g *agent) bool {
@@ -213,11 +213,11 @@
 func (a *Assigner) cost(t *task, g *agent) time.Duration {
 	l := &g.load
 	var cost time.Duration
-	if l.Pace > 0 {
-		cost += t.expected * time.Duration(l.Pace-nominalPace) / nominalPace
+	if l.RelativeRunTimePercent > 0 {
+		cost += t.expected * time.Duration(l.RelativeRunTimePercent-nominalPace) / nominalPace
 	}
 	if g.dataCentre != a.dataCentre {
-		cost += a.limits.Remote
+		cost += a.limits.CrossDataCentreLatency
 	}
 	if t.step.Rack != "" && !slices.Contains(l.Labels, t.step.Rack) {
 		cost += t.expected / 2
@@ -242,7 +242,7 @@
 
 // occupied returns the room in use or asked for at the agent, with the launches that
 // its load does not cover.
-func (g *agent) occupied() messenger.Room {
+func (g *agent) occupied() messenger.Resources {
 	r := g.load.Used.Add(g.load.Queued)
 	for _, h := range g.ahead {
 		r = r.Add(h.room)
@@ -252,7 +252,7 @@
 
 // wait returns how long a task of a size is expected to wait at the agent, if the
 // room in use becomes free evenly over the run time of a task.
-func (g *agent) wait(room messenger.Room, run time.Duration) time.Duration {
+func (g *agent) wait(room messenger.Resources, run time.Duration) time.Duration {
 	l := &g.load
 	used := g.occupied().Add(room)
 	if used.Fits(l.Capacity) {
@@ -276,7 +276,7 @@
 // outlook reports whether any known upstream has the size and the labels for the
 // job, and how long the job is expected to wait, from what is ahead of it.
 func (a *Assigner) outlook(now time.Duration, j *job) (fits bool, wait time.Duration) {
-	var capacity, used messenger.Room
+	var capacity, used messenger.Resources
 	for _, g := range a.order {
 		l := &g.load
 		if !g.known || l.Service != j.Service || l.State != messenger.RunnerReady || a.doubtful(now, g) {
@@ -290,15 +290,15 @@
 	}
 	for _, t := range a.pending {
 		if t.job == j {
-			used = used.Add(t.step.Room)
+			used = used.Add(t.step.Resources)
 		} else if t.urgency() >= now && t.before(j) {
 			// The other entries have as much waiting.
 			for range a.entries {
-				used = used.Add(t.step.Room)
+				used = used.Add(t.step.Resources)
 			}
 		}
 	}
-	if capacity == (messenger.Room{}) {
+	if capacity == (messenger.Resources{}) {
 		return true, a.outage(now)
 	}
 	excess := used.Sub(capacity)
@@ -311,7 +311,7 @@
 	known := false
 	suits := make([]bool, len(j.Steps))
 	for _, g := range a.order {
-		if !g.known || g.load.Service != j.Service || g.load.Capacity == (messenger.Room{}) {
+		if !g.known || g.load.Service != j.Service || g.load.Capacity == (messenger.Resources{}) {
 			continue
 		}
 		known = true
@@ -330,7 +330,7 @@
 	t.run++
 	t.run = max(t.run, j.base+1)
 	g.sent++
-	if a.rested(now, g, a.limits.RestAfter/2) {
+	if a.rested(now, g, a.limits.IdleThreshold/2) {
 		g.wokenAt = now
 	}
 	if len(g.tasks) == 0 {
@@ -339,15 +339,15 @@
 	t.state, t.agent = stateLaunched, g
 	j.out++
 	g.tasks[t.ref] = t
-	g.ahead = append(g.ahead, ahead{sequence: g.sent, room: t.step.Room})
-	a.spares[g.at] -= t.step.Room.MilliCPU
+	g.ahead = append(g.ahead, ahead{sequence: g.sent, room: t.step.Resources})
+	a.spares[g.at] -= t.step.Resources.MilliCPU
 	age := now - g.heardAt
 	agentNow := g.clock + age
 	g.launches = append(g.launches, messenger.Launch{
-		Task: t.ref, Run: t.run, Payload: j.Payload, Room: t.step.Room, Service: j.Service,
-		Urgency:  agentNow + t.urgency() - now,
-		StartBy:  agentNow + min(returnAfter+age/clockSkew, j.deadline-now),
-		Expected: t.expected, Life: g.load.Life, Failures: t.failures, Insist: a.insists(&g.load),
+		Task: t.ref, Run: t.run, Payload: j.Payload, Resources: t.step.Resources, Service: j.Service,
+		Urgency:         agentNow + t.urgency() - now,
+		StartBy:         agentNow + min(returnAfter+age/clockSkew, j.deadline-now),
+		ExpectedRunTime: t.expected, Incarnation: g.load.Incarnation, Failures: t.failures, AllowSuspect: a.insists(&g.load),
 		Priority: j.Priority,
 	})
 	a.decide(Decision{Event: "task-launched", Task: t.ref, Run: t.run, Instance: g.instance, Wait: wait, Age: age})
@@ -371,8 +371,8 @@
 // beatDue reports whether a frame must be sent to an agent, so that both sides know of
 // each other. One that rests is answered, so that its beats alone set the pace.
 func (a *Assigner) beatDue(now time.Duration, g *agent) bool {
-	if a.rested(now, g, a.limits.RestAfter) {
-		return g.clock > g.echoed || now-g.sentAt >= a.limits.RestBeat+a.limits.BeatEvery
+	if a.rested(now, g, a.limits.IdleThreshold) {
+		return g.clock > g.echoed || now-g.sentAt >= a.limits.IdleHeartbeatInterval+a.limits.HeartbeatInterval
 	}
-	return now-g.sentAt >= a.limits.BeatEvery
+	return now-g.sentAt >= a.limits.HeartbeatInterval
 }
--- a/internal/assigner/place_test.go
+++ b/internal/assigner/place_test.go
@@ -18,15 +18,15 @@
 		peer := messenger.Peer(instance)
 		a.AgentUp(0, peer, instance, fmt.Sprintf("dc-%d", i%3))
 		a.Receive(0, peer, &messenger.Frame{Load: &messenger.Load{
-			Life: instance + "#1", Service: "quote", State: messenger.RunnerReady, Pace: 100, Labels: []string{"rack-1"},
-			Capacity: messenger.Room{MilliCPU: 16000, MemoryBytes: 1 << 34},
-			Used:     messenger.Room{MilliCPU: int64(used + i%8*1000), MemoryBytes: 1 << 30},
+			Incarnation: instance + "#1", Service: "quote", State: messenger.RunnerReady, RelativeRunTimePercent: 100, Labels: []string{"rack-1"},
+			Capacity: messenger.Resources{MilliCPU: 16000, MemoryBytes: 1 << 34},
+			Used:     messenger.Resources{MilliCPU: int64(used + i%8*1000), MemoryBytes: 1 << 30},
 		}})
 	}
-	a.Take(0)
+	a.Advance(0)
 	j := a.newJob(0, Job{
-		ID: "j1", Queue: "q", Service: "quote", Stretch: 1.6, Patience: time.Second, MaxAttempts: 2,
-		Steps: []Step{{Count: 1, Room: messenger.Room{MilliCPU: 1600, MemoryBytes: 1 << 26}, Declared: 100 * time.Millisecond}},
+		ID: "j1", Queue: "q", Service: "quote", SlowdownFactor: 1.6, CallerTimeout: time.Second, MaxAttempts: 2,
+		Steps: []Step{{Count: 1, Resources: messenger.Resources{MilliCPU: 1600, MemoryBytes: 1 << 26}, DeclaredRunTime: 100 * time.Millisecond}},
 	})
 	return a, j.tasks[0]
 }
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -216,7 +216,7 @@
 	case <-ctx.Done():
 		b.loop.Post(func(now time.Time) {
 			delete(b.waiters, j.Ticket)
-			b.assigner.Leave(b.loop.Elapsed(now), j.ID, j.Ticket)
+			b.assigner.CallerLeft(b.loop.Elapsed(now), j.ID, j.Ticket)
 		})
 		return assigner.Answer{}, &Error{Op: "submit", Kind: KindCallerLeft, Err: ctx.Err()}
 	}
@@ -236,7 +236,7 @@
 
 // Waiting returns the number of a queue's jobs of which nothing was started.
 func (b *Broker) Waiting(queue string) (n int) {
-	b.loop.Call(func(time.Time) { n = b.assigner.Waiting(queue) })
+	b.loop.Call(func(time.Time) { n = b.assigner.WaitingJobs(queue) })
 	return n
 }
 
@@ -247,11 +247,11 @@
 }
 
 // Close makes the broker reject new jobs.
-func (b *Broker) Close() { b.loop.Post(func(time.Time) { b.assigner.Close() }) }
+func (b *Broker) Close() { b.loop.Post(func(time.Time) { b.assigner.StopAdmitting() }) }
 
 // GiveUp answers every job that has no answer yet.
 func (b *Broker) GiveUp() {
-	b.loop.Call(func(now time.Time) { b.assigner.GiveUp(b.loop.Elapsed(now)) })
+	b.loop.Call(func(now time.Time) { b.assigner.AbandonAll(b.loop.Elapsed(now)) })
 }
 
 // Learn takes peer addresses of entries, from wherever they are known.
@@ -266,7 +266,7 @@
 
 // flush carries out what was decided. It runs on the control thread.
 func (b *Broker) flush(now time.Time) {
-	out := b.assigner.Take(b.loop.Elapsed(now))
+	out := b.assigner.Advance(b.loop.Elapsed(now))
 	b.serving.Store(b.assigner.Serving(b.loop.Elapsed(now)))
 	for _, d := range out.Decisions {
 		b.log(d)
@@ -304,7 +304,7 @@
 
 func (b *Broker) summarize(time.Time) {
 	jobs, pending := b.assigner.Counts()
-	capacity, used := b.assigner.Room()
+	capacity, used := b.assigner.Resources()
 	b.settings.Journal.Line("load").Int("jobs", jobs).Int("pending", pending).
 		Int64("capacity-milli-cpu", capacity.MilliCPU).Int64("used-milli-cpu", used.MilliCPU).
 		Int("agents", len(b.agents)).Int("entries", len(b.entries)).Uint64("config-version", b.version()).
--- a/internal/budgeter/budgeter.go
+++ b/internal/budgeter/budgeter.go
@@ -60,7 +60,7 @@
 
 // Pause returns how long to wait before the attempt of the given number, counted
 // from 0. It is spread evenly over half to one and a half of its mean.
-func (b *Budgeter) Pause(attempt int) time.Duration {
+func (b *Budgeter) Backoff(attempt int) time.Duration {
 	mean := b.limits.Backoff << min(max(attempt, 0), 20)
 	if mean > b.limits.MaxBackoff || mean <= 0 {
 		mean = b.limits.MaxBackoff
--- a/internal/budgeter/budgeter_test.go
+++ b/internal/budgeter/budgeter_test.go
@@ -29,7 +29,7 @@
 				rt.Fatalf("%d retries for %d units of work, want at most %v", retries, work, most)
 			}
 		}
-		pause := b.Pause(rapid.IntRange(0, 100).Draw(rt, "attempt"))
+		pause := b.Backoff(rapid.IntRange(0, 100).Draw(rt, "attempt"))
 		if pause < limits.Backoff/2 || pause > limits.MaxBackoff*3/2 {
 			rt.Fatalf("pause %v is outside its bounds", pause)
 		}
--- a/internal/coordinator/agents.go
+++ b/internal/coordinator/agents.go
@@ -124,8 +124,8 @@
 	for p := range epochs {
 		epochs[p] = c.registrar.Partition(identifier.Partition(p)).Epoch
 	}
-	a.gather().Admit = &messenger.Admit{Roster: roster.Version, Epochs: epochs}
-	c.placer.AgentUp(now, a.peer, placer.Place{
+	a.gather().Admit = &messenger.Admit{RosterVersion: roster.Version, Epochs: epochs}
+	c.placer.AgentUp(now, a.peer, placer.Location{
 		Region:     c.self.Region,
 		DataCentre: a.member.DataCentre,
 		Rack:       a.member.Rack,
@@ -145,7 +145,7 @@
 		return
 	}
 	a.expelled = true
-	a.gather().Expel = &messenger.Expel{Roster: c.registrar.Roster(c.self.Region).Version}
+	a.gather().Expel = &messenger.Expel{RosterVersion: c.registrar.Roster(c.self.Region).Version}
 	if a.admitted {
 		a.admitted = false
 		c.placer.AgentDown(now, a.peer)
@@ -195,11 +195,11 @@
 	if len(f.Fenced) > 0 {
 		c.receiveFenced(now, a, f.Fenced)
 	}
-	for i := range f.Bequests {
-		c.receiveBequest(a, f.Bequests[i])
+	for i := range f.RecordTransfers {
+		c.receiveBequest(a, f.RecordTransfers[i])
 	}
-	for i := range f.Bequeathed {
-		c.receiveBequeathed(now, a, &f.Bequeathed[i])
+	for i := range f.RecordTransferStatuses {
+		c.receiveBequeathed(now, a, &f.RecordTransferStatuses[i])
 	}
 	for i := range f.Results {
 		c.receiveResult(now, a, &f.Results[i])
--- a/internal/coordinator/bequests.go
+++ b/internal/coordinator/bequests.go
@@ -25,7 +25,7 @@
 }
 
 // receiveBequest passes a piece on. The first one chooses the heir.
-func (c *Coordinator) receiveBequest(a *agentLink, m messenger.Bequest) {
+func (c *Coordinator) receiveBequest(a *agentLink, m messenger.RecordTransfer) {
 	b := c.bequests[a.peer]
 	if m.Piece == 0 {
 		b = &bequest{heir: c.chooseHeir(a.peer), attempt: m.Attempt}
@@ -43,7 +43,7 @@
 	b.last = m.Last
 	m.Agent = a.peer
 	f := heir.gather()
-	f.Bequests = append(f.Bequests, m)
+	f.RecordTransfers = append(f.RecordTransfers, m)
 }
 
 // chooseHeir returns the member that an agent's records go to; empty if there is none.
@@ -67,7 +67,7 @@
 }
 
 // receiveBequeathed applies what an heir says, and asks the agent for the next piece.
-func (c *Coordinator) receiveBequeathed(now time.Time, from *agentLink, m *messenger.Bequeathed) {
+func (c *Coordinator) receiveBequeathed(now time.Time, from *agentLink, m *messenger.RecordTransferStatus) {
 	b := c.bequests[m.Agent]
 	if b == nil || b.heir != from.peer || b.attempt != m.Attempt {
 		return
@@ -80,18 +80,18 @@
 		b.stored = true
 		c.propose(now)
 	default:
-		c.answerBequest(m.Agent, messenger.Bequeathed{Pieces: m.Pieces})
+		c.answerBequest(m.Agent, messenger.RecordTransferStatus{Pieces: m.Pieces})
 	}
 }
 
 // refuseBequest ends a bequest without an heir.
 func (c *Coordinator) refuseBequest(agent messenger.Peer) {
-	c.answerBequest(agent, messenger.Bequeathed{Refused: true})
+	c.answerBequest(agent, messenger.RecordTransferStatus{Refused: true})
 	delete(c.bequests, agent)
 }
 
 // answerBequest tells an agent how far its bequest has come.
-func (c *Coordinator) answerBequest(agent messenger.Peer, m messenger.Bequeathed) {
+func (c *Coordinator) answerBequest(agent messenger.Peer, m messenger.RecordTransferStatus) {
 	a, b := c.agents[agent], c.bequests[agent]
 	if a == nil || b == nil {
 		return
@@ -99,7 +99,7 @@
 	m.Agent = agent
 	m.Attempt = b.attempt
 	f := a.gather()
-	f.Bequeathed = append(f.Bequeathed, m)
+	f.RecordTransferStatuses = append(f.RecordTransferStatuses, m)
 }
 
 // bequestWrite returns the write of the roster for a bequest whose heir has all.
@@ -134,7 +134,7 @@
 		switch {
 		case b == nil || !b.stored:
 		case roster.Heir(agent) != "":
-			c.answerBequest(agent, messenger.Bequeathed{Done: true})
+			c.answerBequest(agent, messenger.RecordTransferStatus{Done: true})
 			delete(c.bequests, agent)
 		case !roster.HasMember(agent) || !roster.HasMember(b.heir):
 			c.refuseBequest(agent)
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -45,7 +45,7 @@
 	// RoutesChanged says that owners or entries differ from before.
 	RoutesChanged bool
 	// Waits are those of jobs of which a first task is sent.
-	Waits []Wait
+	QueueTimes []QueueTime
 }
 
 // Coordinator is the control state of one entry.
@@ -105,7 +105,7 @@
 		entries:   make(map[messenger.Peer]*entryLink),
 		away:      make(map[messenger.Peer]time.Time),
 		sighted:   make(map[messenger.Peer]time.Time),
-		requests:  newRequests(limits.AnswerSlack),
+		requests:  newRequests(limits.AnswerGracePeriod),
 		bequests:  make(map[messenger.Peer]*bequest),
 		handover:  newHandovers(),
 		paths:     make(map[string]string),
--- a/internal/coordinator/declared_test.go
+++ b/internal/coordinator/declared_test.go
@@ -130,7 +130,7 @@
 	}
 	waits := make(map[messenger.Peer]bool)
 	for _, a := range taker.entry.Roster(taker.now(j.w)).Agents {
-		if a.Fencing > 0 {
+		if a.PartitionsFencing > 0 {
 			waits[a.Peer] = true
 		}
 	}
--- a/internal/coordinator/directed_test.go
+++ b/internal/coordinator/directed_test.go
@@ -83,7 +83,7 @@
 		p++
 	}
 	// The owner has heard every witness just now.
-	w.until(200*time.Millisecond, func() bool { return old.entry.Lease(w.now).Left > worldLease*9/10 })
+	w.until(200*time.Millisecond, func() bool { return old.entry.Lease(w.now).Remaining > worldLease*9/10 })
 	w.split(1, old, w.agents[0])
 	if !w.until(3*time.Second, func() bool { return w.ownerOf(p, w.entries[1:]) != nil }) {
 		return
--- a/internal/coordinator/dispatch.go
+++ b/internal/coordinator/dispatch.go
@@ -82,29 +82,29 @@
 		return
 	}
 	c.disowned = false
-	c.placer.Disown(now, func(s identifier.Submission) bool { return !c.Owns(s.Partition()) })
+	c.placer.ReleaseTransferred(now, func(s identifier.Submission) bool { return !c.Owns(s.Partition()) })
 }
 
 func (c *Coordinator) start(now time.Time, link *agentLink, j *owner.Job, a placer.Assignment) messenger.Start {
 	clock := link.clock + now.Sub(link.clockAt)
 	s := messenger.Start{
-		Submission: j.Submission,
-		Epoch:      c.recoverer.Epoch(j.Submission.Partition()),
-		Service:    j.Service,
-		Path:       c.paths[j.Service],
-		StartBy:    clock + c.limits.StartBudget,
-		EndBy:      clock + j.Deadline.Sub(now),
-		Work:       a.Work,
-		Tasks:      make([]messenger.TaskStart, len(a.Tasks)),
-		RequestKey: j.RequestKey,
-		Digest:     owner.Digest(j),
+		Submission:    j.Submission,
+		Epoch:         c.recoverer.Epoch(j.Submission.Partition()),
+		Service:       j.Service,
+		Path:          c.paths[j.Service],
+		StartBy:       clock + c.limits.StartTimeout,
+		EndBy:         clock + j.Deadline.Sub(now),
+		RemainingWork: a.Work,
+		Tasks:         make([]messenger.TaskStart, len(a.Tasks)),
+		RequestKey:    j.RequestKey,
+		Digest:        owner.Digest(j),
 	}
 	for i, index := range a.Tasks {
 		spec := &j.Tasks[index]
 		s.Tasks[i] = messenger.TaskStart{
 			Index:        index,
 			Payload:      spec.Payload,
-			MemoryBytes:  c.placer.MemoryBytes(j.Service, spec.MemoryBytes),
+			MemoryBytes:  c.placer.MemoryReservation(j.Service, spec.MemoryBytes),
 			Accelerators: spec.Accelerators,
 		}
 	}
@@ -113,15 +113,15 @@
 
 func placerJob(j *owner.Job, tasks []uint16) placer.Job {
 	out := placer.Job{
-		Submission: j.Submission,
-		Service:    j.Service,
-		Team:       j.Team,
-		Deadline:   j.Deadline,
-		Needs:      make([]placer.Need, len(j.Tasks)),
-		Tasks:      tasks,
+		Submission:   j.Submission,
+		Service:      j.Service,
+		Team:         j.Team,
+		Deadline:     j.Deadline,
+		Requirements: make([]placer.Requirements, len(j.Tasks)),
+		Tasks:        tasks,
 	}
 	for i, t := range j.Tasks {
-		out.Needs[i] = placer.Need{RunTime: t.RunTime, MemoryBytes: t.MemoryBytes, Accelerators: t.Accelerators}
+		out.Requirements[i] = placer.Requirements{RunTime: t.RunTime, MemoryBytes: t.MemoryBytes, Accelerators: t.Accelerators}
 	}
 	return out
 }
--- a/internal/coordinator/entries.go
+++ b/internal/coordinator/entries.go
@@ -62,7 +62,7 @@
 // pingEntries tells the other entries that this one lives and which table
 // revision it has seen.
 func (c *Coordinator) pingEntries(now time.Time) {
-	if now.Sub(c.pingedAt) < c.limits.PingEntriesEvery {
+	if now.Sub(c.pingedAt) < c.limits.EntryHeartbeatInterval {
 		return
 	}
 	c.pingedAt = now
@@ -78,7 +78,7 @@
 // begin notes the time of an event. After a pause of this process the frames of
 // the others may wait unread: their silence until now says nothing about them.
 func (c *Coordinator) begin(now time.Time) {
-	paused := !c.now.IsZero() && now.Sub(c.now) >= c.limits.SuspectAfter/2
+	paused := !c.now.IsZero() && now.Sub(c.now) >= c.limits.SuspicionTimeout/2
 	c.now = now
 	if !paused {
 		return
@@ -94,7 +94,7 @@
 // responsive reports whether an entry is connected and was heard lately.
 func (c *Coordinator) responsive(now time.Time, peer messenger.Peer) bool {
 	e := c.entries[peer]
-	return e != nil && now.Sub(e.heardAt) < c.limits.SuspectAfter
+	return e != nil && now.Sub(e.heardAt) < c.limits.SuspicionTimeout
 }
 
 // suspected reports whether an entry has been out of reach for so long that its
@@ -110,7 +110,7 @@
 	if e := c.entries[peer]; e != nil {
 		since = e.heardAt
 	}
-	return now.Sub(since) >= c.limits.SuspectAfter
+	return now.Sub(since) >= c.limits.SuspicionTimeout
 }
 
 // live returns the entries of this region that may own partitions, this one
--- a/internal/coordinator/forward.go
+++ b/internal/coordinator/forward.go
@@ -113,7 +113,7 @@
 		f.Moved = append(f.Moved, messenger.Moved{Ticket: m.Ticket})
 		return
 	}
-	c.local(now, w, Request{Kind: kindOf(m), Fresh: m.Fresh, Resent: m.Resent, Job: owner.Job{
+	c.local(now, w, Request{Kind: kindOf(m), NewID: m.NewID, Resent: m.Resent, Job: owner.Job{
 		Submission: m.Submission,
 		Service:    m.Service,
 		Team:       m.Team,
@@ -144,7 +144,7 @@
 		RequestKey: j.RequestKey,
 		Remaining:  j.Deadline.Sub(now),
 		Tasks:      j.Tasks,
-		Fresh:      r.Fresh,
+		NewID:      r.NewID,
 		Resent:     r.Resent,
 		Attach:     r.Kind == RequestAttach,
 		Cancel:     r.Kind == RequestCancel,
@@ -163,7 +163,7 @@
 
 // unowned answers a request that no owner answered in time.
 func unowned(f *forward) *messenger.Answer {
-	if f.request.Fresh && !f.sent {
+	if f.request.NewID && !f.sent {
 		return &messenger.Answer{
 			Submission: f.request.Job.Submission,
 			Outcome:    string(submitter.OutcomeNotRun),
--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -100,10 +100,10 @@
 	for _, p := range partitions {
 		past := c.recoverer.Inheritance(now, p)
 		out.partitions = append(out.partitions, messenger.HandoverPartition{
-			Partition:  p,
-			Epoch:      c.recoverer.Epoch(p),
-			PastBefore: past.Before,
-			Incomplete: past.Incomplete,
+			Partition:       p,
+			Epoch:           c.recoverer.Epoch(p),
+			UncertainBefore: past.Before,
+			Incomplete:      past.Incomplete,
 		})
 		out.jobs = append(out.jobs, c.stop(now, p)...)
 	}
@@ -151,7 +151,7 @@
 // partitions. An entry that drains does not wait.
 func (c *Coordinator) steady(now time.Time, peer messenger.Peer) bool {
 	e := c.entries[peer]
-	return e != nil && (c.draining || now.Sub(e.upSince) >= c.limits.SteadyAfter)
+	return e != nil && (c.draining || now.Sub(e.upSince) >= c.limits.MinConnectionAge)
 }
 
 // stop ends all activity of a partition and returns its records. Requests that
--- a/internal/coordinator/limits.go
+++ b/internal/coordinator/limits.go
@@ -20,19 +20,19 @@
 	Recoverer recoverer.Limits
 	Enroller  enroller.Limits
 	// StartBudget is how long a start may be under way to its upstream.
-	StartBudget time.Duration
+	StartTimeout time.Duration
 	// SuspectAfter is how long an entry may be silent before its partitions are
 	// taken over.
-	SuspectAfter time.Duration
+	SuspicionTimeout time.Duration
 	// PingEntriesEvery is the period at which entries tell each other that they live.
-	PingEntriesEvery time.Duration
+	EntryHeartbeatInterval time.Duration
 	// SteadyAfter is how long an entry must be connected before it is handed partitions.
-	SteadyAfter time.Duration
+	MinConnectionAge time.Duration
 	// HandoverBytes is about how much the records of one handover take, unless one
 	// partition has more; HandoverPieceBytes is that of one message of it.
 	HandoverBytes, HandoverPieceBytes int
 	// AnswerSlack is how long after a deadline the owner's answer is awaited.
-	AnswerSlack time.Duration
+	AnswerGracePeriod time.Duration
 	// Regions are all regions, in an order that never changes; empty means that
 	// there is only the region of the entry.
 	Regions []string
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -14,9 +14,9 @@
 
 // The states of agents in a roster.
 const (
-	AgentMember   AgentState = "member"   // Tasks may be given to the agent.
-	AgentDeparted AgentState = "departed" // The agent left; its records may still matter.
-	AgentDeclared AgentState = "declared" // An operator declared the agent dead.
+	AgentMember       AgentState = "member"   // Tasks may be given to the agent.
+	AgentDeparted     AgentState = "departed" // The agent left; its records may still matter.
+	AgentDeclaredDead AgentState = "declared" // An operator declared the agent dead.
 )
 
 // WitnessState says whether leases rest on an agent.
@@ -37,12 +37,12 @@
 	Connected        bool
 	// Fencing is the number of partitions that this entry has taken over and that
 	// wait, among others, for the agent.
-	Fencing int
+	PartitionsFencing int
 	// Missing is the number of this entry's partitions whose records at the agent
 	// are not known.
-	Missing int
+	PartitionsMissing int
 	// Heir is the agent that has the records of one that left in good order.
-	Heir messenger.Peer
+	Successor messenger.Peer
 	// DeclaredAt is when an operator declared the agent dead; zero if none did.
 	DeclaredAt time.Time
 }
@@ -63,17 +63,17 @@
 	for _, d := range roster.Departed {
 		state := AgentDeparted
 		if !d.DeclaredAt.IsZero() {
-			state = AgentDeclared
+			state = AgentDeclaredDead
 		}
-		out.Agents = append(out.Agents, AgentStatus{Peer: d.Peer, State: state, Heir: d.Heir, DeclaredAt: d.DeclaredAt})
+		out.Agents = append(out.Agents, AgentStatus{Peer: d.Peer, State: state, Successor: d.Heir, DeclaredAt: d.DeclaredAt})
 	}
 	fencing, missing := c.waitedFor(now)
 	for i := range out.Agents {
 		a := &out.Agents[i]
 		a.Witness = witnessState(&roster.Roster, a.Peer)
 		a.Connected = c.agents[a.Peer] != nil
-		a.Fencing = fencing[a.Peer]
-		a.Missing = missing[a.Peer]
+		a.PartitionsFencing = fencing[a.Peer]
+		a.PartitionsMissing = missing[a.Peer]
 	}
 	return out
 }
--- a/internal/coordinator/needed_test.go
+++ b/internal/coordinator/needed_test.go
@@ -142,7 +142,7 @@
 		// The clocks of a directed history agree, and a takeover is shorter than
 		// the time that a start may be under way.
 		l.Recoverer.ClockDifference = 0
-		l.StartBudget = 5 * time.Second
+		l.StartTimeout = 5 * time.Second
 	}
 	on := off
 	on.rules, on.ownerRules, on.guardRules = nil, nil, nil
--- a/internal/coordinator/ownership.go
+++ b/internal/coordinator/ownership.go
@@ -212,7 +212,7 @@
 		return false
 	}
 	since := c.superseded[p]
-	return since.IsZero() || now.Sub(since) >= supersededPauses*c.limits.SuspectAfter
+	return since.IsZero() || now.Sub(since) >= supersededPauses*c.limits.SuspicionTimeout
 }
 
 // supersededPauses is how many times the suspicion time an entry waits before it
--- a/internal/coordinator/query.go
+++ b/internal/coordinator/query.go
@@ -11,7 +11,7 @@
 )
 
 // Wait is how long a job waited for its first start.
-type Wait struct {
+type QueueTime struct {
 	Service  string
 	Duration time.Duration
 }
@@ -62,7 +62,7 @@
 func (c *Coordinator) SetHolds(holds map[messenger.Peer]placer.Hold) { c.placer.SetHolds(holds) }
 
 // SetPlacing puts new limits of the placement in force.
-func (c *Coordinator) SetPlacing(l placer.Limits) { c.placer.SetLimits(l) }
+func (c *Coordinator) SetPlacementLimits(l placer.Limits) { c.placer.SetLimits(l) }
 
 // SetTeams sets the quotas of teams.
 func (c *Coordinator) SetTeams(quotas []placer.Quota) { c.placer.SetTeams(quotas) }
@@ -74,7 +74,7 @@
 // upstream was ejected.
 func (c *Coordinator) Restore(now time.Time, peer messenger.Peer) bool {
 	for _, u := range c.placer.Upstreams() {
-		if u.Peer == peer && u.Ejected != "" {
+		if u.Peer == peer && u.EjectReason != "" {
 			return c.placer.Restore(now, peer)
 		}
 	}
@@ -84,6 +84,6 @@
 // noteFirstSend records how long a job waited if nothing of it was sent yet.
 func (c *Coordinator) noteFirstSend(now time.Time, j *owner.Job) {
 	if waited, first := c.owner.FirstSend(now, j.Submission); first {
-		c.out.Waits = append(c.out.Waits, Wait{Service: j.Service, Duration: waited})
+		c.out.QueueTimes = append(c.out.QueueTimes, QueueTime{Service: j.Service, Duration: waited})
 	}
 }
--- a/internal/coordinator/requests.go
+++ b/internal/coordinator/requests.go
@@ -28,7 +28,7 @@
 	Job  owner.Job
 	// Fresh says that this entry made the id for the request, so that no other
 	// request can have brought it before.
-	Fresh bool
+	NewID bool
 	// Resent says that the request was with another owner before, which did not
 	// answer it but may have started tasks.
 	Resent bool
@@ -150,11 +150,11 @@
 	if r.Job.RequestKey != "" && c.recoverer.Inheritance(now, r.Job.Submission.Partition()).Incomplete {
 		return recoverer.PastUnknown
 	}
-	if r.Fresh && !r.Resent {
+	if r.NewID && !r.Resent {
 		return recoverer.PastNone
 	}
 	past := c.recoverer.Past(now, r.Job.Submission)
-	if r.Fresh && past == recoverer.PastRefused {
+	if r.NewID && past == recoverer.PastRefused {
 		// Nobody but the resent request asked for the id, and it had no answer.
 		return recoverer.PastNone
 	}
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -20,18 +20,18 @@
 	Missing []messenger.Peer
 	// PastBefore is the end of the ids that may have been with a former owner; zero
 	// if there are none.
-	PastBefore time.Time
+	UncertainBefore time.Time
 }
 
 // LeaseStatus is what operators see of an entry's lease.
 type LeaseStatus struct {
 	Held bool
 	// Left is how long the lease lasts without another answer of a witness.
-	Left time.Duration
+	Remaining time.Duration
 	// RowsAge is how long ago the shared rows were last known to be current.
 	RowsAge time.Duration
 	// Roster is the version of the roster that the entry relies on.
-	Roster uint64
+	RosterVersion uint64
 }
 
 // Partitions returns the status of every partition.
@@ -41,13 +41,13 @@
 		row := c.registrar.Partition(p)
 		s := c.recoverer.Status(now, p)
 		out[p] = PartitionStatus{
-			Partition:  p,
-			Region:     row.Region,
-			Owner:      row.Owner,
-			Epoch:      row.Epoch,
-			Phase:      s.Phase,
-			Missing:    s.Missing,
-			PastBefore: s.PastBefore,
+			Partition:       p,
+			Region:          row.Region,
+			Owner:           row.Owner,
+			Epoch:           row.Epoch,
+			Phase:           s.Phase,
+			Missing:         s.Missing,
+			UncertainBefore: s.PastBefore,
 		}
 	}
 	return out
@@ -56,10 +56,10 @@
 // Lease returns the status of this entry's lease.
 func (c *Coordinator) Lease(now time.Time) LeaseStatus {
 	return LeaseStatus{
-		Held:    c.leaser.Held(now),
-		Left:    max(0, c.leaser.Until().Sub(now)),
-		RowsAge: now.Sub(c.registrar.ReadAt()),
-		Roster:  c.self.Roster,
+		Held:          c.leaser.Held(now),
+		Remaining:     max(0, c.leaser.Until().Sub(now)),
+		RowsAge:       now.Sub(c.registrar.ReadAt()),
+		RosterVersion: c.self.Roster,
 	}
 }
 
--- a/internal/coordinator/takeover_test.go
+++ b/internal/coordinator/takeover_test.go
@@ -57,8 +57,8 @@
 	l.Registrar.PollEvery, l.Registrar.RetryEvery = time.Second, 250*time.Millisecond
 	l.Enroller.GoneAfter, l.Enroller.WitnessGoneAfter = 30*time.Second, 5*time.Second
 	l.Enroller.Witnesses = 15
-	l.StartBudget = 5 * time.Second
-	l.SuspectAfter, l.PingEntriesEvery, l.SteadyAfter = time.Second, 250*time.Millisecond, time.Second
+	l.StartTimeout = 5 * time.Second
+	l.SuspicionTimeout, l.EntryHeartbeatInterval, l.MinConnectionAge = time.Second, 250*time.Millisecond, time.Second
 }
 
 // traffic counts messages and their encoded bytes.
@@ -87,7 +87,7 @@
 	for _, payload := range s.payload {
 		j.Tasks = append(j.Tasks, messenger.TaskSpec{Payload: payload})
 	}
-	p.entry.Request(p.now(w), ticket, coordinator.Request{Kind: coordinator.RequestSubmit, Job: j, Fresh: true})
+	p.entry.Request(p.now(w), ticket, coordinator.Request{Kind: coordinator.RequestSubmit, Job: j, NewID: true})
 	w.flush(p)
 }
 
--- a/internal/coordinator/world_actions_test.go
+++ b/internal/coordinator/world_actions_test.go
@@ -273,7 +273,7 @@
 			j.Tasks = append(j.Tasks, messenger.TaskSpec{Payload: payload, RunTime: 5 * time.Millisecond})
 		}
 	}
-	p.entry.Request(p.now(w), ticket, coordinator.Request{Kind: kind, Job: j, Fresh: s.fresh})
+	p.entry.Request(p.now(w), ticket, coordinator.Request{Kind: kind, Job: j, NewID: s.fresh})
 	w.flush(p)
 }
 
--- a/internal/coordinator/world_test.go
+++ b/internal/coordinator/world_test.go
@@ -126,11 +126,11 @@
 			Window:           worldWindow + 2*worldClockDifference,
 			Witnesses:        3,
 		},
-		StartBudget:      200 * time.Millisecond,
-		SuspectAfter:     150 * time.Millisecond,
-		PingEntriesEvery: 50 * time.Millisecond,
-		SteadyAfter:      100 * time.Millisecond,
-		AnswerSlack:      20 * time.Millisecond,
+		StartTimeout:           200 * time.Millisecond,
+		SuspicionTimeout:       150 * time.Millisecond,
+		EntryHeartbeatInterval: 50 * time.Millisecond,
+		MinConnectionAge:       100 * time.Millisecond,
+		AnswerGracePeriod:      20 * time.Millisecond,
 		// Records of a few jobs take several pieces, and those of many partitions
 		// several handovers.
 		HandoverBytes:      4_000,
--- a/internal/creditor/creditor.go
+++ b/internal/creditor/creditor.go
@@ -21,13 +21,13 @@
 // [DefaultLimits].
 type Limits struct {
 	// Floor is the least number of slots that an entry may count on.
-	Floor int
+	MinSlots int
 	// Depth is how many starts of an entry may wait for a slot.
-	Depth int
+	QueueDepth int
 }
 
 // DefaultLimits returns the settings that suit most deployments.
-func DefaultLimits() Limits { return Limits{Floor: 1, Depth: 8} }
+func DefaultLimits() Limits { return Limits{MinSlots: 1, QueueDepth: 8} }
 
 // Grant is a limit that an entry has not been told.
 type Grant struct {
@@ -54,11 +54,11 @@
 // New returns a creditor without slots.
 func New(limits Limits) *Creditor {
 	d := DefaultLimits()
-	if limits.Floor == 0 {
-		limits.Floor = d.Floor
+	if limits.MinSlots == 0 {
+		limits.MinSlots = d.MinSlots
 	}
-	if limits.Depth == 0 {
-		limits.Depth = d.Depth
+	if limits.QueueDepth == 0 {
+		limits.QueueDepth = d.QueueDepth
 	}
 	return &Creditor{limits: limits}
 }
@@ -103,11 +103,11 @@
 }
 
 // Told records that an entry was sent its limit.
-func (c *Creditor) Told(g Grant) { c.share(g.Entry).told = g.Limit }
+func (c *Creditor) GrantSent(g Grant) { c.share(g.Entry).told = g.Limit }
 
 // Divide returns the limits that entries do not know. What it returns is valid
 // until the next call.
-func (c *Creditor) Divide() []Grant {
+func (c *Creditor) PendingGrants() []Grant {
 	used := c.Outstanding()
 	c.grants = c.grants[:0]
 	for _, s := range c.shares {
@@ -123,7 +123,7 @@
 	if c.slots == 0 {
 		return 0
 	}
-	return max(c.limits.Floor, c.slots-others) + c.limits.Depth
+	return max(c.limits.MinSlots, c.slots-others) + c.limits.QueueDepth
 }
 
 // Outstanding returns the tasks at the agent, those of absent entries included.
--- a/internal/creditor/creditor_test.go
+++ b/internal/creditor/creditor_test.go
@@ -16,21 +16,21 @@
 // TestDeadEntryReturnsCredits holds that the others' limits rise at once by what a
 // dead entry had waiting, and by the rest as its tasks end.
 func TestDeadEntryReturnsCredits(t *testing.T) {
-	c := New(Limits{Floor: 1, Depth: 2})
+	c := New(Limits{MinSlots: 1, QueueDepth: 2})
 	c.SetSlots(8)
 	c.EntryUp("a")
 	c.EntryUp("b")
 	for range 6 {
 		c.Started("a")
 	}
-	if diff := cmp.Diff([]Grant{{"a", 10}, {"b", 4}}, c.Divide()); diff != "" {
+	if diff := cmp.Diff([]Grant{{"a", 10}, {"b", 4}}, c.PendingGrants()); diff != "" {
 		t.Fatalf("limits (-want +got):\n%s", diff)
 	}
 	c.EntryDown("a")
 	for range 6 {
 		c.Ended("")
 	}
-	if diff := cmp.Diff([]Grant{{"b", 10}}, c.Divide()); diff != "" {
+	if diff := cmp.Diff([]Grant{{"b", 10}}, c.PendingGrants()); diff != "" {
 		t.Fatalf("limits after the end of a (-want +got):\n%s", diff)
 	}
 }
@@ -39,7 +39,7 @@
 // what the others have outstanding never exceed slots, floor and depth together.
 func TestLimitsFollowOutstanding(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d := &driver{c: New(Limits{Floor: 1, Depth: 3}), outstanding: map[messenger.Peer]int{}}
+		d := &driver{c: New(Limits{MinSlots: 1, QueueDepth: 3}), outstanding: map[messenger.Peer]int{}}
 		d.c.SetSlots(8)
 		rt.Repeat(map[string]func(*rapid.T){"up": d.up, "start": d.start, "end": d.end, "": d.check})
 	})
@@ -76,8 +76,8 @@
 }
 
 func (d *driver) check(rt *rapid.T) {
-	for _, g := range d.c.Divide() {
-		d.c.Told(g)
+	for _, g := range d.c.PendingGrants() {
+		d.c.GrantSent(g)
 		others := d.c.Outstanding() - d.outstanding[g.Entry]
 		if g.Limit > max(8-others, 1)+3 || g.Limit < 1+3 {
 			rt.Fatalf("%s has the limit %d while others have %d", g.Entry, g.Limit, others)
--- a/internal/dispatcher/caller.go
+++ b/internal/dispatcher/caller.go
@@ -117,7 +117,7 @@
 	return &coordinator.Request{
 		Kind:  coordinator.RequestSubmit,
 		Job:   newJob(config, service, team, id, body),
-		Fresh: fresh,
+		NewID: fresh,
 	}, nil
 }
 
--- a/internal/dispatcher/config.go
+++ b/internal/dispatcher/config.go
@@ -138,7 +138,7 @@
 		e.coordinator.SetPath(s.Name, s.Path)
 	}
 	e.coordinator.SetTeams(teamQuotas(config))
-	e.coordinator.SetPlacing(placing(config))
+	e.coordinator.SetPlacementLimits(placing(config))
 	e.config.Publish(config)
 	e.configVersion.Store(number)
 	e.settings.Logger.Info().Str("event", "config-in-force").Uint64("version", number).
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -281,7 +281,7 @@
 			reply <- a.Answer
 		}
 	}
-	for _, w := range out.Waits {
+	for _, w := range out.QueueTimes {
 		e.meter.Started(w.Service, w.Duration)
 	}
 	for _, r := range out.Reads {
--- a/internal/dispatcher/parts.go
+++ b/internal/dispatcher/parts.go
@@ -120,21 +120,21 @@
 	e.loop.Call(func(time.Time) {
 		for _, u := range e.coordinator.Upstreams() {
 			ejectedBy := 0
-			if u.Ejected != "" {
+			if u.EjectReason != "" {
 				ejectedBy = 1
 			}
 			out = append(out, administrator.Upstream{
 				Peer:         u.Peer,
-				Region:       u.Place.Region,
-				DataCentre:   u.Place.DataCentre,
-				Rack:         u.Place.Rack,
+				Region:       u.Location.Region,
+				DataCentre:   u.Location.DataCentre,
+				Rack:         u.Location.Rack,
 				State:        u.Capacity.State,
 				Services:     u.Capacity.Services,
 				Slots:        u.Capacity.Slots,
 				Credit:       u.Credit,
 				Outstanding:  u.Outstanding,
 				FailureRatio: u.FailureRatio,
-				Ejected:      string(u.Ejected),
+				Ejected:      string(u.EjectReason),
 				EjectedBy:    ejectedBy,
 				Hold:         u.Hold,
 				SeenBy:       1,
@@ -164,12 +164,12 @@
 		if p.Owner != e.settings.Peer {
 			continue
 		}
-		left := submitter.Duration(lease.Left.Round(time.Millisecond))
+		left := submitter.Duration(lease.Remaining.Round(time.Millisecond))
 		out[i].Phase = p.Phase
 		out[i].LeaseLeft = &left
 		out[i].Missing = p.Missing
-		if !p.PastBefore.IsZero() {
-			until := p.PastBefore.UTC()
+		if !p.UncertainBefore.IsZero() {
+			until := p.UncertainBefore.UTC()
 			out[i].UncertainBefore = &until
 		}
 	}
@@ -189,9 +189,9 @@
 			Rack:       a.Rack,
 			State:      a.State,
 			Witness:    a.Witness,
-			Fencing:    a.Fencing,
-			Missing:    a.Missing,
-			Heir:       a.Heir,
+			Fencing:    a.PartitionsFencing,
+			Missing:    a.PartitionsMissing,
+			Heir:       a.Successor,
 		}
 		if a.Connected {
 			out[i].ConnectedTo = 1
--- a/internal/experimenter/cutoff.go
+++ b/internal/experimenter/cutoff.go
@@ -49,6 +49,6 @@
 }
 
 // place returns where an agent stands.
-func (s *system) place(agent int) placer.Place {
-	return placer.Place{DataCentre: fmt.Sprintf("dc-%d", agent%dataCentres)}
+func (s *system) place(agent int) placer.Location {
+	return placer.Location{DataCentre: fmt.Sprintf("dc-%d", agent%dataCentres)}
 }
--- a/internal/experimenter/entrynode.go
+++ b/internal/experimenter/entrynode.go
@@ -158,7 +158,7 @@
 	s := e.system
 	job := s.numbers[a.Submission]
 	n := s.agentNumbers[a.Agent]
-	start := messenger.Start{Submission: a.Submission, Epoch: 1, StartBy: s.clock.now + startBudget, EndBy: time.Hour, Work: a.Work}
+	start := messenger.Start{Submission: a.Submission, Epoch: 1, StartBy: s.clock.now + startBudget, EndBy: time.Hour, RemainingWork: a.Work}
 	for _, index := range a.Tasks {
 		start.Tasks = append(start.Tasks, messenger.TaskStart{Index: index})
 	}
--- a/internal/experimenter/system.go
+++ b/internal/experimenter/system.go
@@ -208,17 +208,17 @@
 func (s *system) spec(i int) placer.Job {
 	j := &s.workload.Jobs[i]
 	out := placer.Job{
-		Submission: j.ID,
-		Service:    service,
-		Team:       fmt.Sprintf("team-%03d", j.Team),
-		Needs:      make([]placer.Need, len(j.Tasks)),
-		Tasks:      make([]uint16, len(j.Tasks)),
+		Submission:   j.ID,
+		Service:      service,
+		Team:         fmt.Sprintf("team-%03d", j.Team),
+		Requirements: make([]placer.Requirements, len(j.Tasks)),
+		Tasks:        make([]uint16, len(j.Tasks)),
 	}
 	if s.scenario.Deadline > 0 {
 		out.Deadline = zero.Add(warmUp + j.At + s.scenario.Deadline)
 	}
 	for n := range j.Tasks {
-		out.Needs[n].RunTime = j.Tasks[n].Declared
+		out.Requirements[n].RunTime = j.Tasks[n].Declared
 		out.Tasks[n] = uint16(n)
 	}
 	return out
--- a/internal/guard/credit.go
+++ b/internal/guard/credit.go
@@ -93,10 +93,10 @@
 		slots = g.upstream.Slots
 	}
 	g.resources.credits.SetSlots(slots)
-	for _, grant := range g.resources.credits.Divide() {
+	for _, grant := range g.resources.credits.PendingGrants() {
 		if l := g.entries[grant.Entry]; l != nil && l.frame != nil {
 			l.frame.Credit = &messenger.Credit{Limit: grant.Limit}
-			g.resources.credits.Told(grant)
+			g.resources.credits.GrantSent(grant)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 func (g *Guard) accept(now time.Time, p pending) {
 	g.resources.credits.Started(p.from)
 	g.resources.open[p.ref.Submission]++
-	p.rank = p.start.Work + time.Duration(ageing*float64(g.Clock(now)))
+	p.rank = p.start.RemainingWork + time.Duration(ageing*float64(g.Clock(now)))
 	g.waiting.insert(p)
 }
 
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -166,11 +166,11 @@
 	if f.Expel != nil {
 		g.expel(now)
 	}
-	for i := range f.Bequests {
-		g.adopt(now, from, &f.Bequests[i])
+	for i := range f.RecordTransfers {
+		g.adopt(now, from, &f.RecordTransfers[i])
 	}
-	for i := range f.Bequeathed {
-		g.bequeathed(from, &f.Bequeathed[i])
+	for i := range f.RecordTransferStatuses {
+		g.bequeathed(from, &f.RecordTransferStatuses[i])
 	}
 	if f.Fence != nil {
 		g.fence(now, from, f.Fence)
--- a/internal/guard/hold_test.go
+++ b/internal/guard/hold_test.go
@@ -34,7 +34,7 @@
 		Address: netip.MustParseAddrPort("127.0.0.1:1"), Services: []string{"quote"}, Slots: 8,
 		TimeToLive: submitter.Duration(time.Minute),
 	})
-	h.guard.Receive(h.now, "entry", &messenger.Frame{Admit: &messenger.Admit{Roster: 1, Epochs: make([]uint64, identifier.Partitions)}})
+	h.guard.Receive(h.now, "entry", &messenger.Frame{Admit: &messenger.Admit{RosterVersion: 1, Epochs: make([]uint64, identifier.Partitions)}})
 	h.guard.Take(h.now)
 	return h
 }
--- a/internal/guard/will.go
+++ b/internal/guard/will.go
@@ -19,7 +19,7 @@
 	kept    bool           // kept means that an heir has all.
 	entry   messenger.Peer // entry passes the pieces on; empty while none was asked.
 	attempt int            // attempt counts how often the passing was begun.
-	pieces  []messenger.Bequest
+	pieces  []messenger.RecordTransfer
 }
 
 // entryDown begins anew if the entry has gone that passes the pieces on.
@@ -55,14 +55,14 @@
 func (g *Guard) Bequeathed() (over, kept bool) { return g.will.over, g.will.kept }
 
 // divide returns all records in pieces.
-func (g *Guard) divide() []messenger.Bequest {
-	pieces := []messenger.Bequest{{}}
+func (g *Guard) divide() []messenger.RecordTransfer {
+	pieces := []messenger.RecordTransfer{{}}
 	size := 0
 	for p := range identifier.Partition(identifier.Partitions) {
 		for _, r := range append(g.records.of(p, false), g.adopted.of(p, false)...) {
 			n := messageBytes(&r)
 			if size > 0 && size+n > maxPieceBytes {
-				pieces = append(pieces, messenger.Bequest{Piece: len(pieces)})
+				pieces = append(pieces, messenger.RecordTransfer{Piece: len(pieces)})
 				size = 0
 			}
 			last := &pieces[len(pieces)-1]
@@ -88,11 +88,11 @@
 	f := g.frameTo(g.will.entry)
 	piece := g.will.pieces[i]
 	piece.Attempt = g.will.attempt
-	f.Bequests = append(f.Bequests, piece)
+	f.RecordTransfers = append(f.RecordTransfers, piece)
 }
 
 // bequeathed applies what an entry says about the pieces.
-func (g *Guard) bequeathed(from messenger.Peer, m *messenger.Bequeathed) {
+func (g *Guard) bequeathed(from messenger.Peer, m *messenger.RecordTransferStatus) {
 	switch {
 	case from != g.will.entry || m.Attempt != g.will.attempt:
 	case m.Done, m.Refused:
@@ -107,8 +107,8 @@
 // adopt takes a piece of the records of an agent that leaves, and says so. An agent
 // that leaves itself takes none, since its own pieces may be under way; nor does one
 // whose memory for records is full.
-func (g *Guard) adopt(now time.Time, from messenger.Peer, m *messenger.Bequest) {
-	answer := messenger.Bequeathed{Agent: m.Agent, Attempt: m.Attempt, Pieces: m.Piece + 1}
+func (g *Guard) adopt(now time.Time, from messenger.Peer, m *messenger.RecordTransfer) {
+	answer := messenger.RecordTransferStatus{Agent: m.Agent, Attempt: m.Attempt, Pieces: m.Piece + 1}
 	if g.will.made || g.expelled || g.records.full(true, g.adopted.bytes) {
 		answer.Refused = true
 	} else {
@@ -117,7 +117,7 @@
 		}
 	}
 	f := g.frameTo(from)
-	f.Bequeathed = append(f.Bequeathed, answer)
+	f.RecordTransferStatuses = append(f.RecordTransferStatuses, answer)
 }
 
 // adoptRecord joins a record with what other agents have left of the submission. Where
--- a/internal/guard/will_test.go
+++ b/internal/guard/will_test.go
@@ -18,22 +18,22 @@
 	t.Helper()
 	from.Bequeath(benchStart)
 	for {
-		var next []messenger.Bequest
+		var next []messenger.RecordTransfer
 		for _, s := range from.Take(benchStart).Sends {
-			next = append(next, s.Frame.Bequests...)
+			next = append(next, s.Frame.RecordTransfers...)
 		}
 		if len(next) == 0 {
 			return pieces, size
 		}
 		var buf bytes.Buffer
-		if err := messenger.Append(&buf, &messenger.Frame{Bequests: next}); err != nil {
+		if err := messenger.Append(&buf, &messenger.Frame{RecordTransfers: next}); err != nil {
 			t.Fatal(err)
 		}
 		pieces += len(next)
 		size += buf.Len()
-		heir.Receive(benchStart, benchEntry, &messenger.Frame{Bequests: next})
+		heir.Receive(benchStart, benchEntry, &messenger.Frame{RecordTransfers: next})
 		for _, s := range heir.Take(benchStart).Sends {
-			from.Receive(benchStart, benchEntry, &messenger.Frame{Bequeathed: s.Frame.Bequeathed})
+			from.Receive(benchStart, benchEntry, &messenger.Frame{RecordTransferStatuses: s.Frame.RecordTransferStatuses})
 		}
 	}
 }
@@ -62,7 +62,7 @@
 	from.Receive(benchStart, benchEntry, startFrame(running, 4))
 	from.Bequeath(benchStart)
 	for _, s := range from.Take(benchStart).Sends {
-		if len(s.Frame.Bequests) > 0 {
+		if len(s.Frame.RecordTransfers) > 0 {
 			t.Fatal("an agent passes its records on while a task runs")
 		}
 	}
@@ -77,9 +77,9 @@
 	}
 	// The agent has left; its heir takes nothing while it leaves itself.
 	heir.Bequeath(benchStart)
-	heir.Receive(benchStart, benchEntry, &messenger.Frame{Bequests: []messenger.Bequest{{Agent: "other"}}})
+	heir.Receive(benchStart, benchEntry, &messenger.Frame{RecordTransfers: []messenger.RecordTransfer{{Agent: "other"}}})
 	for _, s := range heir.Take(benchStart).Sends {
-		for _, m := range s.Frame.Bequeathed {
+		for _, m := range s.Frame.RecordTransferStatuses {
 			if !m.Refused {
 				t.Error("an agent that leaves takes the records of another")
 			}
--- a/internal/messenger/bequest.go
+++ b/internal/messenger/bequest.go
@@ -2,7 +2,7 @@
 
 // Bequest is a piece of the records of an agent that leaves in good order. It goes to
 // an entry, which passes it on to the agent's heir.
-type Bequest struct {
+type RecordTransfer struct {
 	Agent Peer `cbor:"1,keyasint"` // Agent is the one that leaves.
 	Piece int  `cbor:"2,keyasint"` // Piece counts from 0.
 	Last  bool `cbor:"3,keyasint,omitempty"`
@@ -14,7 +14,7 @@
 
 // Bequeathed answers a Bequest: from the heir to the entry, and from there to the
 // agent that leaves.
-type Bequeathed struct {
+type RecordTransferStatus struct {
 	Agent  Peer `cbor:"1,keyasint"`
 	Pieces int  `cbor:"2,keyasint"` // Pieces is the number of pieces that the heir has.
 	// Done means that the roster names the heir, so that the agent may end.
--- a/internal/messenger/ephemeral.go
+++ b/internal/messenger/ephemeral.go
@@ -7,24 +7,24 @@
 )
 
 // Room is an amount of an upstream's capacity.
-type Room struct {
+type Resources struct {
 	MilliCPU     int64 `cbor:"1,keyasint,omitempty"` // MilliCPU is in thousandths of a core.
 	MemoryBytes  int64 `cbor:"2,keyasint,omitempty"`
 	Accelerators int64 `cbor:"3,keyasint,omitempty"`
 }
 
 // Add returns the sum of two amounts.
-func (r Room) Add(o Room) Room {
-	return Room{r.MilliCPU + o.MilliCPU, r.MemoryBytes + o.MemoryBytes, r.Accelerators + o.Accelerators}
+func (r Resources) Add(o Resources) Resources {
+	return Resources{r.MilliCPU + o.MilliCPU, r.MemoryBytes + o.MemoryBytes, r.Accelerators + o.Accelerators}
 }
 
 // Sub returns the amount without another. Parts of it may be negative.
-func (r Room) Sub(o Room) Room {
-	return Room{r.MilliCPU - o.MilliCPU, r.MemoryBytes - o.MemoryBytes, r.Accelerators - o.Accelerators}
+func (r Resources) Sub(o Resources) Resources {
+	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryBytes - o.MemoryBytes, r.Accelerators - o.Accelerators}
 }
 
 // Fits reports whether the amount is within another in every part.
-func (r Room) Fits(in Room) bool {
+func (r Resources) Fits(in Resources) bool {
 	return r.MilliCPU <= in.MilliCPU && r.MemoryBytes <= in.MemoryBytes && r.Accelerators <= in.Accelerators
 }
 
@@ -47,9 +47,9 @@
 type Launch struct {
 	Task TaskRef `cbor:"1,keyasint"`
 	// Run counts the starts of the task. It grows with each.
-	Run     uint64 `cbor:"2,keyasint"`
-	Payload string `cbor:"3,keyasint,omitempty"`
-	Room    Room   `cbor:"4,keyasint"`
+	Run       uint64    `cbor:"2,keyasint"`
+	Payload   string    `cbor:"3,keyasint,omitempty"`
+	Resources Resources `cbor:"4,keyasint"`
 	// Service is the service that the upstream must belong to.
 	Service string `cbor:"5,keyasint"`
 	// Urgency is the latest start that lets the job meet its objective, on the
@@ -58,15 +58,15 @@
 	// StartBy is on the agent's clock. A task that has not started by then goes back.
 	StartBy time.Duration `cbor:"7,keyasint"`
 	// Expected is how long the task is expected to run.
-	Expected time.Duration `cbor:"8,keyasint"`
+	ExpectedRunTime time.Duration `cbor:"8,keyasint"`
 	// Life is the upstream that the entry chose. Another one at the same agent does
 	// not run the task.
-	Life string `cbor:"9,keyasint"`
+	Incarnation string `cbor:"9,keyasint"`
 	// Failures is how often the task has failed elsewhere.
 	Failures int `cbor:"10,keyasint,omitempty"`
 	// Insist means that a suspect upstream runs the task as well, because too many are
 	// suspect.
-	Insist bool `cbor:"11,keyasint,omitempty"`
+	AllowSuspect bool `cbor:"11,keyasint,omitempty"`
 	// Priority is that of the queue; 0 comes first.
 	Priority int `cbor:"12,keyasint,omitempty"`
 }
@@ -82,16 +82,16 @@
 
 // The kinds of ends.
 const (
-	EndDone      EndKind = "done"       // The upstream ran the task with success.
-	EndFailed    EndKind = "failed"     // The upstream ran the task without success.
-	EndReturned  EndKind = "returned"   // The task did not start.
-	EndRefused   EndKind = "refused"    // The upstream refused the task, which did not start.
-	EndStaleRun  EndKind = "stale-run"  // The upstream has seen a higher run of the task.
-	EndWithdrawn EndKind = "withdrawn"  // The entry withdrew the task.
-	EndStalled   EndKind = "stalled"    // The task stood still and was stopped.
-	EndStraggled EndKind = "straggled"  // The task was far slower than expected and was stopped.
-	EndLost      EndKind = "lost"       // The upstream ended, or its lease lapsed.
-	EndNotKnown  EndKind = "unresolved" // Whether the task started is not known; it does not run any more.
+	EndDone       EndKind = "done"       // The upstream ran the task with success.
+	EndFailed     EndKind = "failed"     // The upstream ran the task without success.
+	EndReturned   EndKind = "returned"   // The task did not start.
+	EndRefused    EndKind = "refused"    // The upstream refused the task, which did not start.
+	EndStaleRun   EndKind = "stale-run"  // The upstream has seen a higher run of the task.
+	EndWithdrawn  EndKind = "withdrawn"  // The entry withdrew the task.
+	EndStalled    EndKind = "stalled"    // The task stood still and was stopped.
+	EndStraggled  EndKind = "straggled"  // The task was far slower than expected and was stopped.
+	EndLost       EndKind = "lost"       // The upstream ended, or its lease lapsed.
+	EndUnresolved EndKind = "unresolved" // Whether the task started is not known; it does not run any more.
 )
 
 // Ran reports whether the task may have started.
@@ -105,7 +105,7 @@
 	Run  uint64  `cbor:"2,keyasint"`
 	Kind EndKind `cbor:"3,keyasint"`
 	// Took is the time from the start to the end, if the task ran.
-	Took time.Duration `cbor:"4,keyasint,omitempty"`
+	RunTime time.Duration `cbor:"4,keyasint,omitempty"`
 	// Started reports whether the task may have started, if it was withdrawn.
 	Started bool `cbor:"5,keyasint,omitempty"`
 }
@@ -124,17 +124,17 @@
 
 // Load is what an agent tells every entry about its upstream.
 type Load struct {
-	Life     string      `cbor:"1,keyasint,omitempty"` // Life names the upstream's run; a restart is another.
-	Service  string      `cbor:"2,keyasint,omitempty"`
-	State    RunnerState `cbor:"3,keyasint"`
-	Labels   []string    `cbor:"4,keyasint,omitempty"`
-	Capacity Room        `cbor:"5,keyasint"`
-	Used     Room        `cbor:"6,keyasint"` // Used is charged for what runs and for starts without an answer.
-	Queued   Room        `cbor:"7,keyasint"` // Queued is asked for by what waits.
+	Incarnation string      `cbor:"1,keyasint,omitempty"` // Life names the upstream's run; a restart is another.
+	Service     string      `cbor:"2,keyasint,omitempty"`
+	State       RunnerState `cbor:"3,keyasint"`
+	Labels      []string    `cbor:"4,keyasint,omitempty"`
+	Capacity    Resources   `cbor:"5,keyasint"`
+	Used        Resources   `cbor:"6,keyasint"` // Used is charged for what runs and for starts without an answer.
+	Queued      Resources   `cbor:"7,keyasint"` // Queued is asked for by what waits.
 	// Seen is the number of launches that the agent has received on this connection.
-	Seen uint64 `cbor:"8,keyasint,omitempty"`
+	LaunchesReceived uint64 `cbor:"8,keyasint,omitempty"`
 	// Pace is the run time of recent tasks by the expected one, in percent.
-	Pace int64 `cbor:"9,keyasint,omitempty"`
+	RelativeRunTimePercent int64 `cbor:"9,keyasint,omitempty"`
 }
 
 // Stamp is the clock of the sender, and the latest stamp that it has received.
--- a/internal/messenger/fence.go
+++ b/internal/messenger/fence.go
@@ -15,14 +15,14 @@
 // after the roster was written, so that no owner that was replaced before the
 // agent joined can start anything there.
 type Admit struct {
-	Roster uint64   `cbor:"1,keyasint"` // Roster is the version of the roster that has the agent.
-	Epochs []uint64 `cbor:"2,keyasint"` // Epochs is indexed by partition.
+	RosterVersion uint64   `cbor:"1,keyasint"` // Roster is the version of the roster that has the agent.
+	Epochs        []uint64 `cbor:"2,keyasint"` // Epochs is indexed by partition.
 }
 
 // Expel tells an agent that an operator has declared it dead. It starts nothing any
 // more, whatever it is told later. What runs goes on, and fences are answered.
 type Expel struct {
-	Roster uint64 `cbor:"1,keyasint"` // Roster is the version of the roster that says so.
+	RosterVersion uint64 `cbor:"1,keyasint"` // Roster is the version of the roster that says so.
 }
 
 // Fenced is an agent's answer to a Fence, one for each partition.
--- a/internal/messenger/frame.go
+++ b/internal/messenger/frame.go
@@ -34,34 +34,34 @@
 
 // Frame is the unit that is encoded and sent.
 type Frame struct {
-	Hello      *Hello       `cbor:"1,keyasint,omitempty"`
-	Contact    *Contact     `cbor:"2,keyasint,omitempty"`
-	Starts     []Start      `cbor:"3,keyasint,omitempty"`
-	Results    []Result     `cbor:"4,keyasint,omitempty"`
-	Cancels    []Cancel     `cbor:"5,keyasint,omitempty"`
-	CancelAcks []CancelAck  `cbor:"6,keyasint,omitempty"`
-	Capacity   *Capacity    `cbor:"7,keyasint,omitempty"`
-	Credit     *Credit      `cbor:"8,keyasint,omitempty"`
-	Fence      *Fence       `cbor:"9,keyasint,omitempty"`
-	Fenced     []Fenced     `cbor:"10,keyasint,omitempty"`
-	Forwards   []Forward    `cbor:"11,keyasint,omitempty"`
-	Answers    []Answer     `cbor:"12,keyasint,omitempty"`
-	Handover   *Handover    `cbor:"13,keyasint,omitempty"`
-	Routes     *Routes      `cbor:"14,keyasint,omitempty"`
-	Config     *Config      `cbor:"15,keyasint,omitempty"`
-	Settled    []Settlement `cbor:"16,keyasint,omitempty"`
-	Query      []AdminQuery `cbor:"17,keyasint,omitempty"`
-	Reports    []AdminReply `cbor:"18,keyasint,omitempty"`
-	Admit      *Admit       `cbor:"19,keyasint,omitempty"`
-	Moved      []Moved      `cbor:"20,keyasint,omitempty"`
-	Expel      *Expel       `cbor:"21,keyasint,omitempty"`
-	Bequests   []Bequest    `cbor:"22,keyasint,omitempty"`
-	Bequeathed []Bequeathed `cbor:"23,keyasint,omitempty"`
-	Launches   []Launch     `cbor:"24,keyasint,omitempty"`
-	Withdraws  []Withdraw   `cbor:"25,keyasint,omitempty"`
-	Ends       []End        `cbor:"26,keyasint,omitempty"`
-	Load       *Load        `cbor:"27,keyasint,omitempty"`
-	Stamp      *Stamp       `cbor:"28,keyasint,omitempty"`
+	Hello                  *Hello                 `cbor:"1,keyasint,omitempty"`
+	Contact                *Contact               `cbor:"2,keyasint,omitempty"`
+	Starts                 []Start                `cbor:"3,keyasint,omitempty"`
+	Results                []Result               `cbor:"4,keyasint,omitempty"`
+	Cancels                []Cancel               `cbor:"5,keyasint,omitempty"`
+	CancelAcks             []CancelAck            `cbor:"6,keyasint,omitempty"`
+	Capacity               *Capacity              `cbor:"7,keyasint,omitempty"`
+	Credit                 *Credit                `cbor:"8,keyasint,omitempty"`
+	Fence                  *Fence                 `cbor:"9,keyasint,omitempty"`
+	Fenced                 []Fenced               `cbor:"10,keyasint,omitempty"`
+	Forwards               []Forward              `cbor:"11,keyasint,omitempty"`
+	Answers                []Answer               `cbor:"12,keyasint,omitempty"`
+	Handover               *Handover              `cbor:"13,keyasint,omitempty"`
+	Routes                 *Routes                `cbor:"14,keyasint,omitempty"`
+	Config                 *Config                `cbor:"15,keyasint,omitempty"`
+	Settled                []Settlement           `cbor:"16,keyasint,omitempty"`
+	Query                  []AdminQuery           `cbor:"17,keyasint,omitempty"`
+	Reports                []AdminReply           `cbor:"18,keyasint,omitempty"`
+	Admit                  *Admit                 `cbor:"19,keyasint,omitempty"`
+	Moved                  []Moved                `cbor:"20,keyasint,omitempty"`
+	Expel                  *Expel                 `cbor:"21,keyasint,omitempty"`
+	RecordTransfers        []RecordTransfer       `cbor:"22,keyasint,omitempty"`
+	RecordTransferStatuses []RecordTransferStatus `cbor:"23,keyasint,omitempty"`
+	Launches               []Launch               `cbor:"24,keyasint,omitempty"`
+	Withdraws              []Withdraw             `cbor:"25,keyasint,omitempty"`
+	Ends                   []End                  `cbor:"26,keyasint,omitempty"`
+	Load                   *Load                  `cbor:"27,keyasint,omitempty"`
+	Stamp                  *Stamp                 `cbor:"28,keyasint,omitempty"`
 }
 
 // Hello is the first message in both directions of a connection.
@@ -119,7 +119,7 @@
 	Digest     uint64 `cbor:"9,keyasint,omitempty"`
 	// Work is how long what is left of the job is expected to take on all slots.
 	// Starts that wait at the agent go in its order, the least first.
-	Work time.Duration `cbor:"10,keyasint,omitempty"`
+	RemainingWork time.Duration `cbor:"10,keyasint,omitempty"`
 }
 
 // TaskStart is one task of a Start.
@@ -251,7 +251,7 @@
 	Cancel bool `cbor:"9,keyasint,omitempty"`
 	// Fresh says that the sending entry made the id for this request, so that no
 	// other request can have brought it before.
-	Fresh bool `cbor:"10,keyasint,omitempty"`
+	NewID bool `cbor:"10,keyasint,omitempty"`
 	// Resent says that the request was with another owner before, which did not
 	// answer it.
 	Resent bool `cbor:"12,keyasint,omitempty"`
@@ -309,11 +309,11 @@
 	Document []byte `cbor:"2,keyasint,omitempty"`
 	// Fresh is set if the sender can learn the current version: an entry reads it
 	// from the table, an agent is connected to such an entry.
-	Fresh bool `cbor:"3,keyasint,omitempty"`
+	SourceReachable bool `cbor:"3,keyasint,omitempty"`
 	// Age is how long the version has been in force at the sender.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
 	// Want asks for the document of a version that is not below it; 0 asks for none.
-	Want uint64 `cbor:"5,keyasint,omitempty"`
+	WantVersion uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // AdminQuery asks a peer for a part of its state, for listings over all entries.
--- a/internal/messenger/handover.go
+++ b/internal/messenger/handover.go
@@ -40,7 +40,7 @@
 	Epoch uint64 `cbor:"2,keyasint"`
 	// PastBefore is the end of the ids that may have been with an owner before the
 	// sender; zero if there are none.
-	PastBefore time.Time `cbor:"3,keyasint,omitempty"`
+	UncertainBefore time.Time `cbor:"3,keyasint,omitempty"`
 	// Incomplete means that some agent's records of those ids are not known.
 	Incomplete bool `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/messenger/kind.go
+++ b/internal/messenger/kind.go
@@ -30,7 +30,7 @@
 		len(f.Launches), len(f.Ends),
 		one(f.Hello != nil), len(f.Cancels), len(f.CancelAcks), one(f.Capacity != nil), one(f.Credit != nil),
 		one(f.Fence != nil), len(f.Fenced), one(f.Routes != nil), one(f.Config != nil), len(f.Settled),
-		len(f.Query), len(f.Reports), one(f.Admit != nil), len(f.Moved), one(f.Expel != nil), len(f.Bequests), len(f.Bequeathed), one(f.Contact != nil),
+		len(f.Query), len(f.Reports), one(f.Admit != nil), len(f.Moved), one(f.Expel != nil), len(f.RecordTransfers), len(f.RecordTransferStatuses), one(f.Contact != nil),
 		len(f.Withdraws), one(f.Load != nil), one(f.Stamp != nil),
 	}
 	if n.Leading() == len(n)-1 {
--- a/internal/placer/agent.go
+++ b/internal/placer/agent.go
@@ -10,7 +10,7 @@
 // agent is what the placer knows of one agent and its upstream.
 type agent struct {
 	peer     messenger.Peer
-	place    Place
+	place    Location
 	capacity messenger.Capacity
 	credit   int  // credit is how many tasks may be outstanding: limit, or less after refusals.
 	limit    int  // limit is the number of slots or, once there is one, the agent's limit.
@@ -50,7 +50,7 @@
 
 // outstanding is a task at an agent.
 type outstanding struct {
-	need  Need // need is what is set aside for the task.
+	need  Requirements // need is what is set aside for the task.
 	queue *teamQueue
 	// expected is the expected run time when the task was sent.
 	expected time.Duration
@@ -70,7 +70,7 @@
 // holds reports whether an agent has what a task needs now. An upstream whose memory
 // is all free takes a task that may need more, as the guard does; no job is admitted
 // whose tasks are known to need more than any upstream has.
-func (a *agent) holds(need Need) bool {
+func (a *agent) holds(need Requirements) bool {
 	fits := need.MemoryBytes <= a.freeMemory || a.freeMemory > 0 && a.freeMemory == a.capacity.MemoryBytes
 	return fits && need.Accelerators <= a.freeAccelerators
 }
--- a/internal/placer/configure.go
+++ b/internal/placer/configure.go
@@ -9,7 +9,7 @@
 // taken as they are, also where they are zero. The tuning and the budget of tasks
 // that are placed again stay as they were made: no configuration has them.
 func (p *Placer) SetLimits(l Limits) {
-	l.Replacements = p.limits.Replacements
+	l.RescheduleBudget = p.limits.RescheduleBudget
 	l.Tuning = p.limits.Tuning
 	p.limits = l
 	for _, s := range p.serviceOrder {
--- a/internal/placer/configure_test.go
+++ b/internal/placer/configure_test.go
@@ -23,7 +23,7 @@
 		limits := DefaultLimits()
 		limits.Ageing = c.before
 		p := New(limits)
-		p.AgentUp(epoch, "a", Place{})
+		p.AgentUp(epoch, "a", Location{})
 		p.SetCapacity(epoch, "a", messenger.Capacity{
 			State: messenger.UpstreamServing, Services: []string{"print"}, Slots: 1,
 		})
@@ -33,7 +33,7 @@
 			n := i + 1
 			j := Job{Submission: submission(n), Service: "print", Team: "brewery", Deadline: epoch.Add(time.Hour)}
 			for k := range tasks {
-				j.Needs = append(j.Needs, Need{RunTime: 300 * time.Millisecond})
+				j.Requirements = append(j.Requirements, Requirements{RunTime: 300 * time.Millisecond})
 				j.Tasks = append(j.Tasks, uint16(k))
 			}
 			// The long job came first.
--- a/internal/placer/deep.go
+++ b/internal/placer/deep.go
@@ -12,7 +12,7 @@
 // deepen marks a new job as deep if it is.
 func (p *Placer) deepen(q *queued) {
 	tasks, credits := len(q.waiting), q.queue.service.credits
-	short := q.work <= time.Duration(tasks)*p.limits.DeepRunTime
+	short := q.work <= time.Duration(tasks)*p.limits.MaxBulkRunTime
 	q.deep = short && credits > 0 && tasks >= credits
 }
 
@@ -44,7 +44,7 @@
 	switch {
 	case !a.credited || a.dispatch == p.output.dispatch:
 	case extra > 0:
-		batch = p.limits.DeepBatch
+		batch = p.limits.BulkBatch
 	default:
 		batch = p.limits.Batch
 	}
@@ -59,9 +59,9 @@
 // mostExtra returns how many deep tasks may wait at an agent beyond its credit:
 // Tuning.Deep for each slot, or what its slots run in Tuning.DeepFor if that is more.
 func (p *Placer) mostExtra(s *service, a *agent) int {
-	rounds := p.limits.Deep
+	rounds := p.limits.BulkPerSlot
 	if usual := s.learned.usualRunTime(); usual > 0 {
-		rounds = max(rounds, int(p.limits.DeepFor/usual))
+		rounds = max(rounds, int(p.limits.BulkWait/usual))
 	}
 	return min(rounds*a.capacity.Slots, maxExtra)
 }
--- a/internal/placer/deep_test.go
+++ b/internal/placer/deep_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, c := range cases {
 		p := New(Limits{})
-		p.AgentUp(epoch, "a", Place{})
+		p.AgentUp(epoch, "a", Location{})
 		p.SetCapacity(epoch, "a", messenger.Capacity{State: messenger.UpstreamServing, Services: []string{"print"}, Slots: 8})
 		p.SetCredit(epoch, "a", 16)
 		s := p.service("print")
--- a/internal/placer/dispatch.go
+++ b/internal/placer/dispatch.go
@@ -65,12 +65,12 @@
 		p.requeue(j, index)
 		return
 	}
-	p.delayed = append(p.delayed, delayedTask{due: now.Add(p.retries.Pause(len(p.delayed) / 64)), job: j, index: index})
+	p.delayed = append(p.delayed, delayedTask{due: now.Add(p.retries.Backoff(len(p.delayed) / 64)), job: j, index: index})
 }
 
 func (p *Placer) requeue(j Job, index uint16) {
 	s := p.service(j.Service)
-	work := s.learned.runTime(j.Needs[index].RunTime)
+	work := s.learned.runTime(j.Requirements[index].RunTime)
 	if q := p.jobs[j.Submission]; q != nil {
 		q.front(index)
 		q.work += work
@@ -108,7 +108,7 @@
 			break // Only deep jobs could be placed.
 		}
 		q := t.jobs.items[0]
-		need := q.job.Needs[q.waiting[0]]
+		need := q.job.Requirements[q.waiting[0]]
 		need.MemoryBytes = s.learned.memoryBytes(need.MemoryBytes)
 		chosen, full := p.pick(s, q, need)
 		if chosen == nil && full && p.alike(q) {
@@ -135,7 +135,7 @@
 }
 
 // place assigns the first waiting task of a job to an agent.
-func (p *Placer) place(q *queued, a *agent, need Need) {
+func (p *Placer) place(q *queued, a *agent, need Requirements) {
 	t := q.queue
 	index := q.waiting[0]
 	q.waiting = q.waiting[1:]
@@ -193,7 +193,7 @@
 
 // pick returns the best agent that can hold the task now, or nil. It is full if no
 // agent has the credit for a task of the job, however little it needs.
-func (p *Placer) pick(s *service, q *queued, need Need) (best *seat, full bool) {
+func (p *Placer) pick(s *service, q *queued, need Requirements) (best *seat, full bool) {
 	reserve := p.reserve(q)
 	for i, seat := range s.seats.items {
 		if i >= maxTried {
--- a/internal/placer/estimate_test.go
+++ b/internal/placer/estimate_test.go
@@ -26,7 +26,7 @@
 func placeMemory(p *Placer, n, tasks int, declared int64) Refusal {
 	j := Job{Submission: submission(n), Service: "print", Team: "brewery"}
 	for i := range tasks {
-		j.Needs = append(j.Needs, Need{RunTime: time.Second, MemoryBytes: declared})
+		j.Requirements = append(j.Requirements, Requirements{RunTime: time.Second, MemoryBytes: declared})
 		j.Tasks = append(j.Tasks, uint16(i))
 	}
 	return p.Enqueue(epoch, j)
@@ -34,7 +34,7 @@
 
 func oneAgent(memory int64) *Placer {
 	p := New(Limits{})
-	p.AgentUp(epoch, "a", Place{})
+	p.AgentUp(epoch, "a", Location{})
 	p.SetCapacity(epoch, "a", messenger.Capacity{
 		State: messenger.UpstreamServing, Services: []string{"print"}, Slots: 8, MemoryBytes: memory,
 	})
@@ -106,9 +106,9 @@
 // TestMemoryBytes holds that starts say what the placer sets aside.
 func TestMemoryBytes(t *testing.T) {
 	p := oneAgent(1000)
-	before := p.MemoryBytes("print", 20)
+	before := p.MemoryReservation("print", 20)
 	learnPeaks(p, 20, 20, 200)
-	got := []int64{before, p.MemoryBytes("print", 20), p.MemoryBytes("other", 20)}
+	got := []int64{before, p.MemoryReservation("print", 20), p.MemoryReservation("other", 20)}
 	if diff := cmp.Diff([]int64{20, 200, 20}, got); diff != "" {
 		t.Errorf("memory before and after peaks, and of an unknown service (-want +got):\n%s", diff)
 	}
--- a/internal/placer/health_test.go
+++ b/internal/placer/health_test.go
@@ -27,7 +27,7 @@
 	p := New(Limits{})
 	for i := range 4 {
 		peer := messenger.Peer(fmt.Sprint("agent-", i))
-		p.AgentUp(epoch, peer, Place{})
+		p.AgentUp(epoch, peer, Location{})
 		p.SetCapacity(epoch, peer, messenger.Capacity{
 			State: messenger.UpstreamServing, Services: []string{"print"}, Slots: 8,
 		})
@@ -44,8 +44,8 @@
 	for n := range 10 {
 		fail(p, epoch, n, 4, bad)
 	}
-	if s := p.Upstreams()[2]; s.Health != stateEjected || s.Ejected != EjectFailing {
-		t.Fatalf("agent-2 is %s for %q, want ejected for failing", s.Health, s.Ejected)
+	if s := p.Upstreams()[2]; s.Health != stateEjected || s.EjectReason != EjectFailing {
+		t.Fatalf("agent-2 is %s for %q, want ejected for failing", s.Health, s.EjectReason)
 	}
 	later := epoch.Add(DefaultLimits().ProbeAfter)
 	fail(p, later, 100, 4, func(messenger.Peer) bool { return false })
--- a/internal/placer/limits.go
+++ b/internal/placer/limits.go
@@ -41,7 +41,7 @@
 	// doubles with as many successes.
 	SlowStart int
 	// Replacements bounds the tasks that are placed again.
-	Replacements budgeter.Limits
+	RescheduleBudget budgeter.Limits
 	Tuning
 }
 
@@ -60,8 +60,8 @@
 	// FloodWork is the time that a team's waiting work takes on all credits from which
 	// the team floods. An agent then orders its starts as if their jobs had FloodDelay
 	// more work on all slots.
-	FloodWork  time.Duration
-	FloodDelay time.Duration
+	OverloadWork  time.Duration
+	OverloadDelay time.Duration
 	// Batch is how many tasks of a large job an agent must be able to take before a
 	// message is sent for them alone.
 	Batch int
@@ -69,43 +69,43 @@
 	// entry has credits, may wait at an agent for each of its slots, beyond its
 	// credit. DeepBatch is how many it must be able to take before a message is sent
 	// for them alone.
-	Deep      int
-	DeepBatch int
+	BulkPerSlot int
+	BulkBatch   int
 	// DeepFor is the time for which deep tasks may wait at an agent in any case. It
 	// covers a few messages there and back.
-	DeepFor time.Duration
+	BulkWait time.Duration
 	// DeepRunTime is the mean run time of a job's tasks above which it is not deep. It keeps what waits at an agent well within the budget of a start.
-	DeepRunTime time.Duration
+	MaxBulkRunTime time.Duration
 }
 
 // DefaultLimits returns the settings that suit most deployments.
 func DefaultLimits() Limits {
 	return Limits{
-		MaxQueued:       50_000,
-		Ageing:          0.25,
-		Quantum:         4 * time.Second,
-		DeadlineRatio:   0.6,
-		MinSamples:      20,
-		FailureStreak:   3,
-		FailureRatio:    0.5,
-		SlowFactor:      4,
-		ProbeAfter:      10 * time.Second,
-		MaxProbeAfter:   2 * time.Minute,
-		MaxEjectedRatio: 0.34,
-		SlowStart:       4,
-		Replacements:    budgeter.Limits{Ratio: 0.1, Burst: 100, Backoff: 20 * time.Millisecond, MaxBackoff: time.Second},
+		MaxQueued:        50_000,
+		Ageing:           0.25,
+		Quantum:          4 * time.Second,
+		DeadlineRatio:    0.6,
+		MinSamples:       20,
+		FailureStreak:    3,
+		FailureRatio:     0.5,
+		SlowFactor:       4,
+		ProbeAfter:       10 * time.Second,
+		MaxProbeAfter:    2 * time.Minute,
+		MaxEjectedRatio:  0.34,
+		SlowStart:        4,
+		RescheduleBudget: budgeter.Limits{Ratio: 0.1, Burst: 100, Backoff: 20 * time.Millisecond, MaxBackoff: time.Second},
 		Tuning: Tuning{
-			MaxDebt:     32 * time.Second,
-			LargeWork:   time.Second,
-			Reserve:     2,
-			DebtReserve: 3,
-			Batch:       4,
-			FloodWork:   2 * time.Second,
-			FloodDelay:  500 * time.Millisecond,
-			Deep:        1,
-			DeepBatch:   8,
-			DeepFor:     5 * time.Millisecond,
-			DeepRunTime: 750 * time.Millisecond,
+			MaxDebt:        32 * time.Second,
+			LargeWork:      time.Second,
+			Reserve:        2,
+			DebtReserve:    3,
+			Batch:          4,
+			OverloadWork:   2 * time.Second,
+			OverloadDelay:  500 * time.Millisecond,
+			BulkPerSlot:    1,
+			BulkBatch:      8,
+			BulkWait:       5 * time.Millisecond,
+			MaxBulkRunTime: 750 * time.Millisecond,
 		},
 	}
 }
@@ -121,12 +121,12 @@
 	setDefault(&l.Reserve, d.Reserve)
 	setDefault(&l.DebtReserve, d.DebtReserve)
 	setDefault(&l.Batch, d.Batch)
-	setDefault(&l.FloodWork, d.FloodWork)
-	setDefault(&l.FloodDelay, d.FloodDelay)
-	setDefault(&l.Deep, d.Deep)
-	setDefault(&l.DeepBatch, d.DeepBatch)
-	setDefault(&l.DeepFor, d.DeepFor)
-	setDefault(&l.DeepRunTime, d.DeepRunTime)
+	setDefault(&l.OverloadWork, d.OverloadWork)
+	setDefault(&l.OverloadDelay, d.OverloadDelay)
+	setDefault(&l.BulkPerSlot, d.BulkPerSlot)
+	setDefault(&l.BulkBatch, d.BulkBatch)
+	setDefault(&l.BulkWait, d.BulkWait)
+	setDefault(&l.MaxBulkRunTime, d.MaxBulkRunTime)
 	setDefault(&l.DeadlineRatio, d.DeadlineRatio)
 	setDefault(&l.MinSamples, d.MinSamples)
 	setDefault(&l.FailureStreak, d.FailureStreak)
@@ -136,7 +136,7 @@
 	setDefault(&l.MaxProbeAfter, d.MaxProbeAfter)
 	setDefault(&l.MaxEjectedRatio, d.MaxEjectedRatio)
 	setDefault(&l.SlowStart, d.SlowStart)
-	setDefault(&l.Replacements, d.Replacements)
+	setDefault(&l.RescheduleBudget, d.RescheduleBudget)
 	return l
 }
 
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -25,7 +25,7 @@
 )
 
 // Need is what a task takes while it runs, as declared.
-type Need struct {
+type Requirements struct {
 	RunTime      time.Duration
 	MemoryBytes  int64
 	Accelerators int
@@ -33,12 +33,12 @@
 
 // Job is a submission whose tasks are to be placed.
 type Job struct {
-	Submission identifier.Submission
-	Service    string
-	Team       string
-	Deadline   time.Time
-	Needs      []Need   // Needs has one entry a task of the submission.
-	Tasks      []uint16 // Tasks are those to place, in order.
+	Submission   identifier.Submission
+	Service      string
+	Team         string
+	Deadline     time.Time
+	Requirements []Requirements // Needs has one entry a task of the submission.
+	Tasks        []uint16       // Tasks are those to place, in order.
 }
 
 // Refusal says why a job is not taken. The zero value takes it.
@@ -58,7 +58,7 @@
 }
 
 // Place is where an agent stands.
-type Place struct {
+type Location struct {
 	Region     string
 	DataCentre string
 	Rack       string
@@ -113,7 +113,7 @@
 		entries:  1,
 		jobs:     make(map[identifier.Submission]*queued),
 		open:     make(map[identifier.Submission]int),
-		retries:  budgeter.New(limits.Replacements, 1),
+		retries:  budgeter.New(limits.RescheduleBudget, 1),
 	}
 }
 
@@ -133,7 +133,7 @@
 
 // AgentUp adds an agent, which serves nothing until its capacity is set. An
 // agent that comes later than the first task result starts with few tasks.
-func (p *Placer) AgentUp(_ time.Time, peer messenger.Peer, place Place) {
+func (p *Placer) AgentUp(_ time.Time, peer messenger.Peer, place Location) {
 	p.AgentDown(time.Time{}, peer)
 	a := &agent{peer: peer, place: place, held: p.holds[peer], sent: make(map[taskRef]outstanding)}
 	a.health = health{state: stateNormal, allowed: unlimited}
@@ -200,7 +200,7 @@
 
 // MemoryBytes returns the memory to set aside for a task of a service: what results
 // have taught, or else what is declared.
-func (p *Placer) MemoryBytes(service string, declared int64) int64 {
+func (p *Placer) MemoryReservation(service string, declared int64) int64 {
 	if s := p.services[service]; s != nil {
 		return s.learned.memoryBytes(declared)
 	}
@@ -292,7 +292,7 @@
 }
 
 // Disown frees the places of tasks whose results will go to another entry.
-func (p *Placer) Disown(now time.Time, gone func(identifier.Submission) bool) {
+func (p *Placer) ReleaseTransferred(now time.Time, gone func(identifier.Submission) bool) {
 	p.touch(now)
 	for _, a := range p.order {
 		for ref, o := range a.sent {
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -32,7 +32,7 @@
 	p := New(Limits{MaxQueued: 1 << 30})
 	for i := range agents {
 		peer := messenger.Peer(fmt.Sprintf("agent-%d", i))
-		p.AgentUp(epoch, peer, Place{})
+		p.AgentUp(epoch, peer, Location{})
 		p.SetCapacity(epoch, peer, messenger.Capacity{
 			State: messenger.UpstreamServing, Services: []string{"print"}, Slots: 8,
 		})
@@ -55,10 +55,10 @@
 
 func enqueue(p *Placer, n, tasks int) {
 	j := Job{Submission: submission(n), Service: "print", Team: "brewery"}
-	j.Needs = make([]Need, tasks)
+	j.Requirements = make([]Requirements, tasks)
 	j.Tasks = make([]uint16, tasks)
 	for i := range tasks {
-		j.Needs[i].RunTime = 300 * time.Millisecond
+		j.Requirements[i].RunTime = 300 * time.Millisecond
 		j.Tasks[i] = uint16(i)
 	}
 	if r := p.Enqueue(epoch, j); r.Reason != "" {
@@ -234,7 +234,7 @@
 }
 
 func (w *world) up(peer messenger.Peer) {
-	w.p.AgentUp(w.now, peer, Place{})
+	w.p.AgentUp(w.now, peer, Location{})
 	w.credit[peer] = 4
 	w.set[peer] = false
 	w.p.SetCapacity(w.now, peer, messenger.Capacity{
@@ -250,7 +250,7 @@
 	w.jobs++
 	j := Job{Submission: submission(w.jobs), Service: "print", Team: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "team")}
 	for i := range rapid.IntRange(1, 12).Draw(rt, "tasks") {
-		j.Needs = append(j.Needs, Need{MemoryBytes: int64(rapid.IntRange(0, 100).Draw(rt, "memory"))})
+		j.Requirements = append(j.Requirements, Requirements{MemoryBytes: int64(rapid.IntRange(0, 100).Draw(rt, "memory"))})
 		j.Tasks = append(j.Tasks, uint16(i))
 		w.waiting[taskRef{j.Submission, uint16(i)}] = true
 	}
@@ -336,7 +336,7 @@
 	if now.small > before.small && now.small > credit {
 		rt.Fatalf("%s has %d tasks of small jobs and a credit of %d", peer, now.small, credit)
 	}
-	if most := credit + 4*w.p.limits.Deep; now.deep > before.deep && now.deep > most {
+	if most := credit + 4*w.p.limits.BulkPerSlot; now.deep > before.deep && now.deep > most {
 		rt.Fatalf("%s has %d tasks of deep jobs, and %d are allowed", peer, now.deep, most)
 	}
 	if all := now.small + now.deep; !w.set[peer] && all > before.small+before.deep && all > credit {
--- a/internal/placer/queue.go
+++ b/internal/placer/queue.go
@@ -208,7 +208,7 @@
 func (s *service) workOf(j *Job, tasks []uint16) time.Duration {
 	var sum time.Duration
 	for _, index := range tasks {
-		sum += s.learned.runTime(j.Needs[index].RunTime)
+		sum += s.learned.runTime(j.Requirements[index].RunTime)
 	}
 	return sum
 }
@@ -218,7 +218,7 @@
 func (s *service) longestFirst(j *Job) []uint16 {
 	tasks := slices.Clone(j.Tasks)
 	slices.SortStableFunc(tasks, func(a, b uint16) int {
-		return cmp.Compare(s.learned.runTime(j.Needs[b].RunTime), s.learned.runTime(j.Needs[a].RunTime))
+		return cmp.Compare(s.learned.runTime(j.Requirements[b].RunTime), s.learned.runTime(j.Requirements[a].RunTime))
 	})
 	return tasks
 }
--- a/internal/placer/rank.go
+++ b/internal/placer/rank.go
@@ -16,12 +16,12 @@
 	}
 	rank := work / q.queue.service.divisor
 	if p.floods(q.queue) {
-		rank += p.limits.FloodDelay
+		rank += p.limits.OverloadDelay
 	}
 	return rank
 }
 
 // floods reports whether a team has more work waiting than all credits do in a time.
 func (p *Placer) floods(t *teamQueue) bool {
-	return t.work/t.service.divisor > p.limits.FloodWork
+	return t.work/t.service.divisor > p.limits.OverloadWork
 }
--- a/internal/placer/refusal.go
+++ b/internal/placer/refusal.go
@@ -102,7 +102,7 @@
 func (s *service) longest(j *Job) time.Duration {
 	var longest time.Duration
 	for _, index := range j.Tasks {
-		longest = max(longest, s.learned.runTime(j.Needs[index].RunTime))
+		longest = max(longest, s.learned.runTime(j.Requirements[index].RunTime))
 	}
 	return longest
 }
@@ -119,17 +119,17 @@
 // firstThatNeverFits returns the first task that no known upstream can hold even
 // when it runs alone, or -1.
 func (s *service) firstThatNeverFits(j *Job) int {
-	var most Need
-	for i := range j.Needs {
-		n := s.corrected(j.Needs[i])
+	var most Requirements
+	for i := range j.Requirements {
+		n := s.corrected(j.Requirements[i])
 		most.MemoryBytes = max(most.MemoryBytes, n.MemoryBytes)
 		most.Accelerators = max(most.Accelerators, n.Accelerators)
 	}
 	if s.fitsSomewhere(most) {
 		return -1
 	}
-	for i := range j.Needs {
-		if !s.fitsSomewhere(s.corrected(j.Needs[i])) {
+	for i := range j.Requirements {
+		if !s.fitsSomewhere(s.corrected(j.Requirements[i])) {
 			return i
 		}
 	}
@@ -138,12 +138,12 @@
 
 // corrected returns a need with the memory that the service's tasks usually take.
 // The margin of what is learned is left out: it must not refuse what has run.
-func (s *service) corrected(n Need) Need {
+func (s *service) corrected(n Requirements) Requirements {
 	n.MemoryBytes = s.learned.usualMemory(n.MemoryBytes)
 	return n
 }
 
-func (s *service) fitsSomewhere(need Need) bool {
+func (s *service) fitsSomewhere(need Requirements) bool {
 	for _, m := range s.members {
 		c := &m.agent.capacity
 		if m.agent.serving() && need.MemoryBytes <= c.MemoryBytes && need.Accelerators <= c.Accelerators {
--- a/internal/placer/script_test.go
+++ b/internal/placer/script_test.go
@@ -35,7 +35,7 @@
 	switch l.Verb {
 	case "agent":
 		peer := messenger.Peer(l.Args[0])
-		b.p.AgentUp(b.now, peer, Place{})
+		b.p.AgentUp(b.now, peer, Location{})
 		b.p.SetCapacity(b.now, peer, messenger.Capacity{
 			State: messenger.UpstreamServing, Services: []string{"print"},
 			Slots: b.number(l, "slots"), MemoryBytes: int64(b.number(l, "memory")), Accelerators: b.number(l, "accelerators"),
@@ -70,7 +70,7 @@
 	}
 	for i := range b.number(l, "tasks") {
 		j.Tasks = append(j.Tasks, uint16(i))
-		j.Needs = append(j.Needs, Need{
+		j.Requirements = append(j.Requirements, Requirements{
 			RunTime: b.duration(l, "run"), MemoryBytes: int64(b.number(l, "memory")), Accelerators: b.number(l, "accelerators"),
 		})
 	}
--- a/internal/placer/status.go
+++ b/internal/placer/status.go
@@ -20,7 +20,7 @@
 // UpstreamStatus is what a placer tells about one agent and its upstream.
 type UpstreamStatus struct {
 	Peer     messenger.Peer
-	Place    Place
+	Location Location
 	Capacity messenger.Capacity
 	// Credit is the number of tasks that this entry may have outstanding there;
 	// Outstanding is the number that it has.
@@ -29,7 +29,7 @@
 	Health              HealthState
 	// Ejected is why the placer has ejected the upstream by itself; empty if it has
 	// not.
-	Ejected EjectReason
+	EjectReason EjectReason
 	// FailureRatio is the recent share of failures.
 	FailureRatio float64
 }
@@ -43,13 +43,13 @@
 	for _, a := range p.order {
 		out = append(out, UpstreamStatus{
 			Peer:         a.peer,
-			Place:        a.place,
+			Location:     a.place,
 			Capacity:     a.capacity,
 			Credit:       min(a.credit, a.health.allowed),
 			Outstanding:  len(a.sent),
 			Hold:         a.held,
 			Health:       a.health.state,
-			Ejected:      a.health.ejected(),
+			EjectReason:  a.health.ejected(),
 			FailureRatio: a.health.failures,
 		})
 	}
--- a/internal/replayer/ideal.go
+++ b/internal/replayer/ideal.go
@@ -19,7 +19,7 @@
 }
 
 type host struct {
-	capacity, used messenger.Room
+	capacity, used messenger.Resources
 	speed          float64
 	down           bool
 	running        []*idealTask
@@ -77,7 +77,7 @@
 		t.life++
 		i.queue = append(i.queue, t)
 	}
-	h.running, h.used = nil, messenger.Room{}
+	h.running, h.used = nil, messenger.Resources{}
 	i.world.after(d, func() { h.down = false; i.place() })
 	i.place()
 }
--- a/internal/replayer/replayer.go
+++ b/internal/replayer/replayer.go
@@ -45,8 +45,8 @@
 		RestBeat: 1200 * time.Millisecond, RestAfter: 2 * time.Second,
 	}
 	assignerLimits = assigner.Limits{
-		Gone: 1816 * time.Millisecond, Doubt: 420 * time.Millisecond, Silence: 650 * time.Millisecond,
-		BeatEvery: 180 * time.Millisecond, RestBeat: 1200 * time.Millisecond, RestAfter: 2 * time.Second, AnswerSlack: 30 * time.Millisecond, Remote: 3 * time.Millisecond,
+		LeaseExpiry: 1816 * time.Millisecond, SuspicionTimeout: 420 * time.Millisecond, LivenessTimeout: 650 * time.Millisecond,
+		HeartbeatInterval: 180 * time.Millisecond, IdleHeartbeatInterval: 1200 * time.Millisecond, IdleThreshold: 2 * time.Second, AnswerMargin: 30 * time.Millisecond, CrossDataCentreLatency: 3 * time.Millisecond,
 	}
 )
 
@@ -213,7 +213,7 @@
 	}
 	do()
 	e.world.result.Wakeups++
-	out := e.assigner.Take(e.world.now)
+	out := e.assigner.Advance(e.world.now)
 	if e.assigner.Serving(e.world.now) {
 		e.unready = 0
 	} else if e.unready == 0 {
--- a/internal/replayer/result.go
+++ b/internal/replayer/result.go
@@ -30,7 +30,7 @@
 type call struct {
 	kind     Kind
 	id       string
-	room     messenger.Room
+	room     messenger.Resources
 	takes    []time.Duration // takes has the run time of each task on a sound upstream.
 	declared time.Duration
 	arrived  time.Duration
@@ -97,7 +97,7 @@
 	r := w.arriving
 	c := &call{
 		kind: k, id: fmt.Sprintf("%016x", r.Uint64()), arrived: w.now, rejected: true,
-		room:   messenger.Room{MilliCPU: int64(spread(r, float64(k.MilliCPU), 0.2, 1.45)), MemoryBytes: 64 << 20},
+		room:   messenger.Resources{MilliCPU: int64(spread(r, float64(k.MilliCPU), 0.2, 1.45)), MemoryBytes: 64 << 20},
 		active: make(map[messenger.TaskRef]int),
 	}
 	mean := spread(r, float64(k.RunTime), 0.4, 4)
@@ -118,9 +118,9 @@
 		}
 	}
 	c.job = assigner.Job{
-		ID: c.id, Queue: k.Name, Service: service, Priority: k.Priority, Stretch: stretch, Allowance: k.Allowance,
-		Patience: k.Patience, MaxAttempts: maxAttempts,
-		Steps: []assigner.Step{{Count: len(c.takes), Room: c.room, Declared: c.declared}},
+		ID: c.id, Queue: k.Name, Service: service, Priority: k.Priority, SlowdownFactor: stretch, LatencyAllowance: k.Allowance,
+		CallerTimeout: k.Patience, MaxAttempts: maxAttempts,
+		Steps: []assigner.Step{{Count: len(c.takes), Resources: c.room, DeclaredRunTime: c.declared}},
 	}
 	w.deliver(c)
 }
@@ -149,7 +149,7 @@
 			e.ticket++
 			j := c.job
 			j.Ticket = e.ticket
-			j.Patience = c.arrived + c.kind.Patience - w.now
+			j.CallerTimeout = c.arrived + c.kind.Patience - w.now
 			e.tickets[j.Ticket] = c
 			e.assigner.Submit(w.now, j)
 		})
@@ -200,7 +200,7 @@
 		for ticket, other := range e.tickets {
 			if other == c {
 				delete(e.tickets, ticket)
-				e.assigner.Leave(w.now, c.id, ticket)
+				e.assigner.CallerLeft(w.now, c.id, ticket)
 			}
 		}
 	})
@@ -338,7 +338,7 @@
 	c := w.jobs[r.ref.Job]
 	c.runs++
 	w.result.Starts++
-	var used messenger.Room
+	var used messenger.Resources
 	for _, other := range u.runs {
 		used = used.Add(other.room)
 	}
--- a/internal/replayer/upstream.go
+++ b/internal/replayer/upstream.go
@@ -18,7 +18,7 @@
 	world    *world
 	index    int
 	life     runner.Life
-	capacity messenger.Room
+	capacity messenger.Resources
 	rack     string
 	speed    float64 // speed is the run time of a task by that on other upstreams.
 	runs     map[messenger.TaskRef]*run
@@ -39,7 +39,7 @@
 type run struct {
 	ref   messenger.TaskRef
 	run   uint64
-	room  messenger.Room
+	room  messenger.Resources
 	begun time.Duration
 	takes time.Duration
 	hangs bool
@@ -52,7 +52,7 @@
 	if index%3 == 2 {
 		cpu = 24000
 	}
-	u.capacity = messenger.Room{MilliCPU: cpu, MemoryBytes: 32 << 30}
+	u.capacity = messenger.Resources{MilliCPU: cpu, MemoryBytes: 32 << 30}
 	u.begin()
 	return u
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -68,7 +68,7 @@
 type Upstream struct {
 	Life     Life
 	Service  string
-	Capacity messenger.Room
+	Capacity messenger.Resources
 	Labels   []string
 	Leaving  bool
 	Sequence int64 // Sequence grows with each announcement of a life.
@@ -93,7 +93,7 @@
 	waiting   []*task // waiting has the tasks that have not started, in the order of urgency.
 	// strays are runs that the upstream lists and that no session owns.
 	strays map[messenger.TaskRef]uint64
-	used   messenger.Room
+	used   messenger.Resources
 	health health
 	// listedAt is when the latest list came; fresh means that it came soon after the one
 	// before.
@@ -275,7 +275,7 @@
 func (r *Runner) Idle() bool { return len(r.tasks) == 0 }
 
 // Counts returns the number of tasks that run and that wait, and the room in use.
-func (r *Runner) Counts() (running, waiting int, used messenger.Room) {
+func (r *Runner) Counts() (running, waiting int, used messenger.Resources) {
 	return len(r.tasks) - len(r.waiting), len(r.waiting), r.used
 }
 
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -61,7 +61,7 @@
 	case "announce":
 		u := Upstream{
 			Life: Life{ID: a[0], Born: scripter.Number(s.t, a[1])}, Service: "quote", Sequence: scripter.Number(s.t, a[2]),
-			Capacity: messenger.Room{MilliCPU: scripter.Number(s.t, a[3]), MemoryBytes: 1 << 30}, Leaving: len(a) > 4,
+			Capacity: messenger.Resources{MilliCPU: scripter.Number(s.t, a[3]), MemoryBytes: 1 << 30}, Leaving: len(a) > 4,
 		}
 		if !s.runner.Announce(s.now, u) {
 			fmt.Fprintln(&s.out, "not taken")
@@ -111,9 +111,9 @@
 		f.Withdraws = []messenger.Withdraw{{Task: task0(a[2]), Run: run}}
 	} else {
 		f.Launches = []messenger.Launch{{
-			Task: task0(a[2]), Run: run, Service: "quote", Life: s.runner.life.String(),
-			Room: messenger.Room{MilliCPU: scripter.Number(s.t, a[4])}, Urgency: scripter.Duration(s.t, a[5]),
-			StartBy: s.now + 100*time.Millisecond, Expected: 100 * time.Millisecond,
+			Task: task0(a[2]), Run: run, Service: "quote", Incarnation: s.runner.life.String(),
+			Resources: messenger.Resources{MilliCPU: scripter.Number(s.t, a[4])}, Urgency: scripter.Duration(s.t, a[5]),
+			StartBy: s.now + 100*time.Millisecond, ExpectedRunTime: 100 * time.Millisecond,
 		}}
 		if len(a) > 6 {
 			f.Launches[0].StartBy = scripter.Duration(s.t, a[6])
--- a/internal/runner/session.go
+++ b/internal/runner/session.go
@@ -22,7 +22,7 @@
 	dirty            bool // dirty means that the entry must hear of the load soon.
 	moved            bool // moved means that the room in use has changed since it was last sent.
 	// told is the room in use or asked for as the entry knows it, with its own launches.
-	told   messenger.Room
+	told   messenger.Resources
 	sentAt time.Duration // sentAt is when the latest frame was sent.
 	closed bool          // closed means that the connection has ended.
 }
@@ -120,11 +120,11 @@
 	switch {
 	case r.tasks[l.Task] != nil:
 		refuse("runs-already")
-	case l.Life != r.life.String() || r.upstream == nil || r.upstream.Service != l.Service:
+	case l.Incarnation != r.life.String() || r.upstream == nil || r.upstream.Service != l.Service:
 		refuse("other-upstream")
-	case st != messenger.RunnerReady && st != messenger.RunnerProbing && !(l.Insist && st == messenger.RunnerSuspect):
+	case st != messenger.RunnerReady && st != messenger.RunnerProbing && !(l.AllowSuspect && st == messenger.RunnerSuspect):
 		refuse(string(st))
-	case !l.Room.Fits(r.upstream.Capacity):
+	case !l.Resources.Fits(r.upstream.Capacity):
 		refuse("too-large")
 	default:
 		if s.rested(now, r.limits.RestAfter/2) {
@@ -134,7 +134,7 @@
 		s.tasks++
 		at, _ := slices.BinarySearchFunc(r.waiting, t, compareUrgency)
 		r.waiting = slices.Insert(r.waiting, at, t)
-		s.told = s.told.Add(l.Room)
+		s.told = s.told.Add(l.Resources)
 		r.moved()
 	}
 }
--- a/internal/runner/take.go
+++ b/internal/runner/take.go
@@ -102,7 +102,7 @@
 		lost = true
 		// A start that was held up on its way may still be carried out. Its room
 		// stays charged until a stop is acknowledged.
-		if t.state == stateStarting || t.state == stateStopping && t.kind == messenger.EndNotKnown {
+		if t.state == stateStarting || t.state == stateStopping && t.kind == messenger.EndUnresolved {
 			continue
 		}
 		r.end(now, t, t.lost())
@@ -138,7 +138,7 @@
 	}
 	for _, t := range slices.Clone(r.waiting) {
 		switch {
-		case now > t.StartBy || st == messenger.RunnerSuspect && !t.Insist:
+		case now > t.StartBy || st == messenger.RunnerSuspect && !t.AllowSuspect:
 			r.end(now, t, messenger.EndReturned)
 		case r.mayStart(t, st):
 			r.start(now, t)
@@ -147,10 +147,10 @@
 }
 
 func (r *Runner) mayStart(t *task, st messenger.RunnerState) bool {
-	if st == messenger.RunnerProbing && !t.Insist && len(r.tasks)-len(r.waiting) >= probeTasks {
+	if st == messenger.RunnerProbing && !t.AllowSuspect && len(r.tasks)-len(r.waiting) >= probeTasks {
 		return false
 	}
-	return r.used.Add(t.Room).Fits(r.upstream.Capacity)
+	return r.used.Add(t.Resources).Fits(r.upstream.Capacity)
 }
 
 func (r *Runner) start(now time.Duration, t *task) {
@@ -158,7 +158,7 @@
 	r.waiting = slices.Delete(r.waiting, i, i+1)
 	t.state = stateStarting
 	t.since = now
-	r.used = r.used.Add(t.Room)
+	r.used = r.used.Add(t.Resources)
 	r.renewed(now + r.limits.Lease)
 	r.out.Starts = append(r.out.Starts, StartCall{Life: r.life, Task: t.Task, Run: t.Run, Payload: t.Payload})
 }
@@ -213,17 +213,17 @@
 }
 
 // queued returns the room that is asked for by what waits.
-func (r *Runner) queued() messenger.Room {
-	var sum messenger.Room
+func (r *Runner) queued() messenger.Resources {
+	var sum messenger.Resources
 	for _, t := range r.waiting {
-		sum = sum.Add(t.Room)
+		sum = sum.Add(t.Resources)
 	}
 	return sum
 }
 
 func (r *Runner) load(now time.Duration, s *session) *messenger.Load {
 	l := &messenger.Load{
-		Life: r.life.String(), State: r.State(now), Used: r.used, Queued: r.queued(), Seen: s.seen, Pace: r.health.pace(now),
+		Incarnation: r.life.String(), State: r.State(now), Used: r.used, Queued: r.queued(), LaunchesReceived: s.seen, RelativeRunTimePercent: r.health.pace(now),
 	}
 	if r.upstream != nil {
 		l.Service, l.Capacity, l.Labels = r.upstream.Service, r.upstream.Capacity, r.upstream.Labels
--- a/internal/runner/task.go
+++ b/internal/runner/task.go
@@ -37,7 +37,7 @@
 		}
 	case AnswerNone:
 		if t.state == stateStarting {
-			r.stop(now, t, messenger.EndNotKnown, "start-unanswered")
+			r.stop(now, t, messenger.EndUnresolved, "start-unanswered")
 		}
 	case AnswerStaleRun:
 		r.end(now, t, messenger.EndStaleRun)
@@ -130,7 +130,7 @@
 		listed[run.Task] = run.Run
 		r.progress(now, run)
 		if t := r.tasks[run.Task]; t != nil && t.Run == run.Run && t.state == stateRunning {
-			pace.add(now-t.since, run.Percent, t.Expected)
+			pace.add(now-t.since, run.Percent, t.ExpectedRunTime)
 		}
 	}
 	if r.health.sample(now, pace) {
@@ -173,7 +173,7 @@
 	case kind == messenger.EndDone:
 		r.health.done(now)
 		if r.fresh {
-			r.health.learn(now, now-t.since, t.Expected)
+			r.health.learn(now, now-t.since, t.ExpectedRunTime)
 		}
 	case kind == messenger.EndFailed:
 		if t.Failures == 0 && r.blames(t.Task.Job) && r.health.failed(now) {
@@ -219,7 +219,7 @@
 		t.percent, t.progress = run.Percent, now
 		return
 	}
-	allowed := max(r.limits.StallAfter, t.Expected/stallShare)
+	allowed := max(r.limits.StallAfter, t.ExpectedRunTime/stallShare)
 	if t.state != stateRunning || now-t.progress < allowed {
 		return
 	}
@@ -265,8 +265,8 @@
 			r.waiting = slices.Delete(r.waiting, i, i+1)
 		}
 	} else {
-		r.used = r.used.Sub(t.Room)
-		e.Took = now - t.since
+		r.used = r.used.Sub(t.Resources)
+		e.RunTime = now - t.since
 	}
 	if !t.session.closed {
 		t.session.ends = append(t.session.ends, e)
--- a/internal/surveyor/state.go
+++ b/internal/surveyor/state.go
@@ -259,7 +259,7 @@
 		epochs[p] = 1
 		f.Partitions = append(f.Partitions, messenger.PartitionEpoch{Partition: identifier.Partition(p), Epoch: 1})
 	}
-	g.Receive(now, entry, &messenger.Frame{Admit: &messenger.Admit{Roster: 1, Epochs: epochs}})
+	g.Receive(now, entry, &messenger.Frame{Admit: &messenger.Admit{RosterVersion: 1, Epochs: epochs}})
 	g.Receive(now, entry, &messenger.Frame{Fence: f})
 	g.Take(now)
 }
