--- a/cmd/sardinelock/cmd/counting_test.go
+++ b/cmd/sardinelock/cmd/counting_test.go
@@ -33,7 +33,7 @@
 	calendar calendar
 	sequence int
 	random   *rand.Rand
-	ids      identifier.Maker
+	ids      identifier.Generator
 	store    *emulator.Platform
 	entry    *coordinator.Coordinator
 	agents   map[messenger.Peer]*countedAgent
@@ -91,7 +91,7 @@
 	w := &counted{
 		now:    time.Unix(countedStart, 0),
 		random: rand.New(rand.NewPCG(countedSeed, 1)),
-		ids:    identifier.Maker{Random: rand.NewChaCha8([32]byte{countedSeed})},
+		ids:    identifier.Generator{Random: rand.NewChaCha8([32]byte{countedSeed})},
 		store:  emulator.NewPlatform(countedSeed, emulator.Faults{}),
 		agents: make(map[messenger.Peer]*countedAgent),
 	}
--- a/cmd/sardinelock/cmd/hostile_test.go
+++ b/cmd/sardinelock/cmd/hostile_test.go
@@ -124,7 +124,7 @@
 // with a good status. Submitting the id again is safe.
 func TestHalfClosedCaller(t *testing.T) {
 	system := newSystem(t, launcher.Options{Entries: 1, Agents: 1})
-	maker := identifier.Maker{Random: rand.NewChaCha8([32]byte{5})}
+	maker := identifier.Generator{Random: rand.NewChaCha8([32]byte{5})}
 	id := maker.New(time.Now()).String()
 	const body = `{"deadline":"50s","tasks":[{"payload":{"run-time":"100ms"}}]}`
 	conn, err := dial(system.Entries[0].CallerAddr())
--- a/cmd/sardinelock/cmd/region_test.go
+++ b/cmd/sardinelock/cmd/region_test.go
@@ -22,13 +22,13 @@
 // the order of the regions.
 type regionFleet struct {
 	*fleet
-	maker identifier.Maker
+	maker identifier.Generator
 	peers [regions]string // peers has where the last entry of each region accepts peers.
 }
 
 func startRegions(t *testing.T) *regionFleet {
 	t.Helper()
-	f := &regionFleet{fleet: newFleet(t), maker: identifier.Maker{Random: rand.NewChaCha8([32]byte{7})}}
+	f := &regionFleet{fleet: newFleet(t), maker: identifier.Generator{Random: rand.NewChaCha8([32]byte{7})}}
 	for region := range regions {
 		for range 2 {
 			f.peers[region] = f.startEntryIn(region)
--- a/cmd/sardinelock/cmd/roster_list.go
+++ b/cmd/sardinelock/cmd/roster_list.go
@@ -41,6 +41,6 @@
 	return []string{
 		string(a.Peer), a.Region, strconv.FormatUint(a.Version, 10), a.DataCentre, a.Rack,
 		string(a.State), string(a.Witness), strconv.Itoa(a.ConnectedTo),
-		strconv.Itoa(a.Fencing), strconv.Itoa(a.Missing), string(a.Heir), declared,
+		strconv.Itoa(a.Fencing), strconv.Itoa(a.Missing), string(a.Successor), declared,
 	}
 }
--- a/cmd/sardinelock/cmd/settings.go
+++ b/cmd/sardinelock/cmd/settings.go
@@ -197,21 +197,21 @@
 func entryLimits() coordinator.Limits {
 	return coordinator.Limits{
 		Owner: owner.Limits{
-			Window:          dedupWindow,
-			ClockDifference: clockDifference,
-			MaxRecordBytes:  maxJobBytes,
-			MaxAnswerBytes:  maxAnswerBytes,
-			AbandonGrace:    abandonGrace,
-			LostAfter:       lostAfter,
-			MaxReplacements: maxReplacements,
+			Window:           dedupWindow,
+			MaxClockSkew:     clockDifference,
+			MaxRecordBytes:   maxJobBytes,
+			MaxAnswerBytes:   maxAnswerBytes,
+			AbandonGrace:     abandonGrace,
+			AgentLossTimeout: lostAfter,
+			MaxReschedules:   maxReplacements,
 		},
 		Placer:    placer.DefaultLimits(),
-		Registrar: registrar.Limits{PollEvery: pollEvery, RetryEvery: retryEvery},
-		Leaser:    leaser.Limits{Lease: lease, Margin: leaseMargin},
+		Registrar: registrar.Limits{PollInterval: pollEvery, RetryInterval: retryEvery},
+		Leaser:    leaser.Limits{LeaseDuration: lease, Margin: leaseMargin},
 		Recoverer: recoverer.Limits{
-			Lease:           lease,
-			ClockDifference: clockDifference,
-			Window:          dedupWindow + 2*clockDifference,
+			LeaseDuration: lease,
+			MaxClockSkew:  clockDifference,
+			Window:        dedupWindow + 2*clockDifference,
 		},
 		Enroller: enroller.Limits{
 			GoneAfter:        agentGoneAfter,
--- a/cmd/sardinelock/cmd/torn_test.go
+++ b/cmd/sardinelock/cmd/torn_test.go
@@ -17,7 +17,7 @@
 	f := startFleet(t, 1, 1)
 	f.upstreams[0].kill()
 	f.startUpstream(f.agentAddrs[0], "--tear-ratio", "0.2")
-	maker := identifier.Maker{Random: rand.NewChaCha8([32]byte{3})}
+	maker := identifier.Generator{Random: rand.NewChaCha8([32]byte{3})}
 	// The agent may still call the first upstream.
 	for reached := 0; reached == 0; {
 		id := maker.New(time.Now()).String()
--- a/internal/administrator/administrator_test.go
+++ b/internal/administrator/administrator_test.go
@@ -95,9 +95,9 @@
 			}
 			return b.store.PutObject(ctx, key, body)
 		},
-		Now:            func() time.Time { return b.now },
-		Pause:          func(context.Context, time.Duration) {},
-		ConfigPatience: 50 * time.Millisecond,
+		Now:           func() time.Time { return b.now },
+		Pause:         func(context.Context, time.Duration) {},
+		ConfigTimeout: 50 * time.Millisecond,
 	}
 }
 
@@ -126,7 +126,7 @@
 		b.roster(l)
 	case "declared":
 		for _, r := range registrar.ReadRosters(b.platform.Read(registrar.RosterPrefix)) {
-			fmt.Fprintf(&b.out, "region %s version %d: members %d, declared %v\n", r.Region, r.Version, len(r.Members), r.Declared())
+			fmt.Fprintf(&b.out, "region %s version %d: members %d, declared %v\n", r.Region, r.Version, len(r.Members), r.DeclaredDead())
 		}
 	case "usage":
 		b.part(CallUsage, l, []Usage{{Service: "quote", Team: l.Arg("team"), OpenJobs: b.number(l, "open"), SentTasks: b.number(l, "sent")}})
--- a/internal/administrator/burn.go
+++ b/internal/administrator/burn.go
@@ -51,7 +51,7 @@
 	}
 	now := s.o.Now()
 	counts, missing := s.gatherCounts(r.Context(), now)
-	report := reporter.Make(now, window, services, counts)
+	report := reporter.NewReport(now, window, services, counts)
 	report.Missing = missing
 	return &madeReport{report: report, services: services, counts: counts}, nil
 }
--- a/internal/administrator/config.go
+++ b/internal/administrator/config.go
@@ -49,7 +49,7 @@
 const (
 	// DefaultConfigPatience is [Options.ConfigPatience] in production. It is chosen
 	// well below the 20 s that a command tries.
-	DefaultConfigPatience = 5 * time.Second
+	DefaultConfigTimeout = 5 * time.Second
 	// defaultHistory and maxHistory bound a list of versions; older ones are read
 	// from the object store one by one.
 	defaultHistory = 20
@@ -70,7 +70,7 @@
 	if problem != nil {
 		return nil, problem
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), s.o.ConfigPatience)
+	ctx, cancel := context.WithTimeout(r.Context(), s.o.ConfigTimeout)
 	defer cancel()
 	content, problem := s.content(ctx, asked)
 	if problem != nil {
--- a/internal/administrator/roster.go
+++ b/internal/administrator/roster.go
@@ -37,7 +37,7 @@
 	// Missing counts the partitions whose owner lacks the agent's records.
 	Missing int `json:"partitions-missing"`
 	// Heir is the agent that has the records of one that left in good order.
-	Heir messenger.Peer `json:"heir,omitempty"`
+	Successor messenger.Peer `json:"heir,omitempty"`
 	// DeclaredAt is when an operator declared the agent dead.
 	DeclaredAt *time.Time `json:"declared-at,omitempty"`
 }
--- a/internal/administrator/service.go
+++ b/internal/administrator/service.go
@@ -40,7 +40,7 @@
 	Pause func(ctx context.Context, d time.Duration)
 	// ConfigPatience is how long a call tries to learn what became of a change of
 	// the configuration.
-	ConfigPatience time.Duration
+	ConfigTimeout time.Duration
 }
 
 // Service serves the administration API.
--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -18,7 +18,7 @@
 
 // Home returns the region that a partition belongs to. The list of regions is the
 // same in the settings of every process and does not change.
-func Home(p identifier.Partition, regions []string) string {
+func HomeRegion(p identifier.Partition, regions []string) string {
 	if len(regions) == 0 {
 		return ""
 	}
@@ -27,7 +27,7 @@
 
 // Want returns the entry among the live ones that should own the partition, or
 // "" if there is none. The order of the live entries does not matter.
-func Want(p identifier.Partition, live []messenger.Peer) messenger.Peer {
+func PreferredOwner(p identifier.Partition, live []messenger.Peer) messenger.Peer {
 	var best messenger.Peer
 	var bestScore uint64
 	for _, peer := range live {
@@ -41,17 +41,17 @@
 
 // Wanted remembers the wanted owners of the latest set of live entries. The zero
 // value is ready.
-type Wanted struct {
+type PreferredOwners struct {
 	live   []messenger.Peer
 	owners [identifier.Partitions]messenger.Peer
 }
 
 // Owner returns [Want] of the partition. The live entries must be sorted.
-func (w *Wanted) Owner(p identifier.Partition, live []messenger.Peer) messenger.Peer {
+func (w *PreferredOwners) Owner(p identifier.Partition, live []messenger.Peer) messenger.Peer {
 	if !slices.Equal(w.live, live) {
 		w.live = slices.Clone(live)
 		for p := range identifier.Partition(identifier.Partitions) {
-			w.owners[p] = Want(p, live)
+			w.owners[p] = PreferredOwner(p, live)
 		}
 	}
 	return w.owners[p]
--- a/internal/coordinator/agents.go
+++ b/internal/coordinator/agents.go
@@ -96,7 +96,7 @@
 	c.owner.AgentUp(h.Peer)
 	c.fence(a, c.Owned())
 	c.admit(now, a)
-	if roster := c.registrar.Roster(c.self.Region); slices.Contains(roster.Declared(), a.peer) {
+	if roster := c.registrar.Roster(c.self.Region); slices.Contains(roster.DeclaredDead(), a.peer) {
 		c.expel(now, a)
 	}
 	a.gather().Routes = &messenger.Routes{Entries: c.regionEntries()}
@@ -168,7 +168,7 @@
 			f.Fence.Partitions = append(f.Fence.Partitions, p)
 		}
 	}
-	f.Fence.UnsettledOnly = f.Fence.UnsettledOnly && !c.recoverer.Missing(a.peer)
+	f.Fence.UnsettledOnly = f.Fence.UnsettledOnly && !c.recoverer.AwaitsRecords(a.peer)
 }
 
 // fenceAll sends every agent the epochs of partitions. Only those that are gained
--- a/internal/coordinator/bequests.go
+++ b/internal/coordinator/bequests.go
@@ -133,7 +133,7 @@
 		b := c.bequests[agent]
 		switch {
 		case b == nil || !b.stored:
-		case roster.Heir(agent) != "":
+		case roster.Successor(agent) != "":
 			c.answerBequest(agent, messenger.RecordTransferStatus{Done: true})
 			delete(c.bequests, agent)
 		case !roster.HasMember(agent) || !roster.HasMember(b.heir):
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -81,11 +81,11 @@
 	draining   bool
 	disowned   bool // disowned means that a partition was lost or stopped since the last Take.
 	pingedAt   time.Time
-	rosterPace pace              // rosterPace is that of the comparison of the roster with the agents.
-	ownersPace pace              // ownersPace is that of the comparison of owners with live entries.
-	wanted     claimer.Wanted    // wanted has the owners that the live entries should be.
-	gathered   gathered          // gathered has the agents that a frame waits for.
-	paths      map[string]string // paths has the HTTP path of each service at its upstreams.
+	rosterPace pace                    // rosterPace is that of the comparison of the roster with the agents.
+	ownersPace pace                    // ownersPace is that of the comparison of owners with live entries.
+	wanted     claimer.PreferredOwners // wanted has the owners that the live entries should be.
+	gathered   gathered                // gathered has the agents that a frame waits for.
+	paths      map[string]string       // paths has the HTTP path of each service at its upstreams.
 	out        Output
 }
 
@@ -110,8 +110,8 @@
 		handover:  newHandovers(),
 		paths:     make(map[string]string),
 	}
-	c.owner.Rules.Holds = func(p identifier.Partition) bool { return c.Owns(p) && c.leaser.Held(c.now) }
-	c.owner.Awaited = c.awaited
+	c.owner.Rules.HoldsPartition = func(p identifier.Partition) bool { return c.Owns(p) && c.leaser.Held(c.now) }
+	c.owner.RequestsExpected = c.awaited
 	return c
 }
 
--- a/internal/coordinator/declared_test.go
+++ b/internal/coordinator/declared_test.go
@@ -204,7 +204,7 @@
 			dead = append(dead, m.Peer)
 		}
 	}
-	if len(dead) == 0 && len(roster.Declared()) == 0 && len(roster.Witnesses) > 2 && random.IntN(4) == 0 {
+	if len(dead) == 0 && len(roster.DeclaredDead()) == 0 && len(roster.Witnesses) > 2 && random.IntN(4) == 0 {
 		dead = roster.Witnesses[:1]
 	}
 	if len(dead) > 0 {
--- a/internal/coordinator/drain_test.go
+++ b/internal/coordinator/drain_test.go
@@ -139,7 +139,7 @@
 		return ""
 	}
 	for x := range identifier.Partition(identifier.Partitions) {
-		want := claimer.Want(x, live)
+		want := claimer.PreferredOwner(x, live)
 		for _, p := range m.world.entries {
 			if p.entry.Owns(x) != (p.peer == want) {
 				return "a partition is not at " + string(want) + ", or also at " + string(p.peer)
--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -98,12 +98,12 @@
 		state: outgoingOffered,
 	}
 	for _, p := range partitions {
-		past := c.recoverer.Inheritance(now, p)
+		past := c.recoverer.Uncertainty(now, p)
 		out.partitions = append(out.partitions, messenger.HandoverPartition{
 			Partition:       p,
 			Epoch:           c.recoverer.Epoch(p),
 			UncertainBefore: past.Before,
-			Incomplete:      past.Incomplete,
+			Incomplete:      past.RecordsIncomplete,
 		})
 		out.jobs = append(out.jobs, c.stop(now, p)...)
 	}
@@ -127,7 +127,7 @@
 		if c.recoverer.Phase(p) != recoverer.PhaseActive {
 			continue
 		}
-		if !c.draining && c.recoverer.Inheritance(now, p).Incomplete {
+		if !c.draining && c.recoverer.Uncertainty(now, p).RecordsIncomplete {
 			continue
 		}
 		want := c.wanted.Owner(p, live)
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -65,7 +65,7 @@
 		if !d.DeclaredAt.IsZero() {
 			state = AgentDeclaredDead
 		}
-		out.Agents = append(out.Agents, AgentStatus{Peer: d.Peer, State: state, Successor: d.Heir, DeclaredAt: d.DeclaredAt})
+		out.Agents = append(out.Agents, AgentStatus{Peer: d.Peer, State: state, Successor: d.Successor, DeclaredAt: d.DeclaredAt})
 	}
 	fencing, missing := c.waitedFor(now)
 	for i := range out.Agents {
@@ -82,7 +82,7 @@
 	switch {
 	case slices.Contains(r.Witnesses, peer):
 		return WitnessCurrent
-	case slices.Contains(r.Previous, peer):
+	case slices.Contains(r.PreviousWitnesses, peer):
 		return WitnessPrevious
 	}
 	return ""
@@ -93,10 +93,10 @@
 	fencing = make(map[messenger.Peer]int)
 	missing = make(map[messenger.Peer]int)
 	for p := range identifier.Partition(identifier.Partitions) {
-		for _, peer := range c.recoverer.Fencing(p) {
+		for _, peer := range c.recoverer.UnfencedWitnesses(p) {
 			fencing[peer]++
 		}
-		for _, peer := range c.recoverer.Status(now, p).Missing {
+		for _, peer := range c.recoverer.Status(now, p).MissingAgents {
 			missing[peer]++
 		}
 	}
--- a/internal/coordinator/needed_test.go
+++ b/internal/coordinator/needed_test.go
@@ -55,12 +55,12 @@
 	},
 	{
 		name:     "wait after fencing",
-		rules:    func(r *coordinator.Rules) { r.Recoverer.Waited = func(_, _ time.Time) bool { return true } },
+		rules:    func(r *coordinator.Rules) { r.Recoverer.WaitOver = func(_, _ time.Time) bool { return true } },
 		directed: func(w *world) { splitOwner(w, 0) },
 	},
 	{
 		name:     "completeness",
-		rules:    func(r *coordinator.Rules) { r.Recoverer.Complete = func(int) bool { return true } },
+		rules:    func(r *coordinator.Rules) { r.Recoverer.RecordsComplete = func(int) bool { return true } },
 		directed: missingAgent,
 	},
 	{
@@ -93,7 +93,7 @@
 	},
 	{
 		name:       "proof of a refusal",
-		ownerRules: func(r *owner.Rules) { r.Proves = func(messenger.Refusal) bool { return true } },
+		ownerRules: func(r *owner.Rules) { r.ProvesNotStarted = func(messenger.Refusal) bool { return true } },
 		guardRules: func(r *guard.Rules) { r.Recorded = func() bool { return false } },
 	},
 }
@@ -141,7 +141,7 @@
 	off.limits = func(l *coordinator.Limits) {
 		// The clocks of a directed history agree, and a takeover is shorter than
 		// the time that a start may be under way.
-		l.Recoverer.ClockDifference = 0
+		l.Recoverer.MaxClockSkew = 0
 		l.StartTimeout = 5 * time.Second
 	}
 	on := off
--- a/internal/coordinator/offer.go
+++ b/internal/coordinator/offer.go
@@ -37,7 +37,7 @@
 	}
 	for _, hp := range o.partitions {
 		if hp.Partition == gained.Partition && hp.Epoch+1 == gained.Epoch {
-			c.recoverer.BeginHandover(now, gained, recoverer.Inheritance{Before: hp.UncertainBefore, Incomplete: hp.Incomplete})
+			c.recoverer.BeginHandover(now, gained, recoverer.Uncertainty{Before: hp.UncertainBefore, RecordsIncomplete: hp.Incomplete})
 			c.importJobs(now, jobsOf(o.jobs, gained.Partition))
 			return true
 		}
--- a/internal/coordinator/ownership.go
+++ b/internal/coordinator/ownership.go
@@ -206,7 +206,7 @@
 
 func (c *Coordinator) claimable(now time.Time, p identifier.Partition, row registrar.Partition) bool {
 	if row.Owner == "" {
-		return claimer.Home(p, c.limits.Regions) == c.self.Region
+		return claimer.HomeRegion(p, c.limits.Regions) == c.self.Region
 	}
 	if row.Region != c.self.Region || row.Owner == c.self.Peer || !c.suspected(now, row.Owner) {
 		return false
--- a/internal/coordinator/query.go
+++ b/internal/coordinator/query.go
@@ -39,7 +39,7 @@
 // OpenJobs returns the open jobs of this entry of a service and a team. An empty
 // name stands for all.
 func (c *Coordinator) OpenJobs(service, team string) []identifier.Submission {
-	return c.owner.Open(service, team)
+	return c.owner.OpenJobs(service, team)
 }
 
 // JobCounts returns the number of jobs that are kept and of those without an
--- a/internal/coordinator/requests.go
+++ b/internal/coordinator/requests.go
@@ -103,7 +103,7 @@
 
 // local applies a request for a partition that this entry owns.
 func (c *Coordinator) local(now time.Time, w owner.Waiter, r Request) {
-	c.localUntil(now, w, r, now.Add(c.limits.Owner.LostAfter))
+	c.localUntil(now, w, r, now.Add(c.limits.Owner.AgentLossTimeout))
 }
 
 // localUntil applies a request that waits for records until the given time.
@@ -114,7 +114,7 @@
 		return
 	}
 	past := c.past(now, &r)
-	if past == recoverer.PastUnknown {
+	if past == recoverer.FormerOutcomeUnknown {
 		c.localUncertain(now, w, r, until)
 		return
 	}
@@ -132,7 +132,7 @@
 	if len(tasks) == 0 {
 		return
 	}
-	if past == recoverer.PastRefused && !known {
+	if past == recoverer.FormerOutcomeNotRun && !known {
 		c.owner.Refuse(now, j.Submission, submitter.ReasonOwnerChanged,
 			"the former owner of the submission is gone and it did not run", time.Second)
 		return
@@ -146,17 +146,17 @@
 // past returns what may have become of a request's id, or of its request key,
 // under a former owner. A new id does not help an old key: the key may have been
 // used under another id.
-func (c *Coordinator) past(now time.Time, r *Request) recoverer.Past {
-	if r.Job.RequestKey != "" && c.recoverer.Inheritance(now, r.Job.Submission.Partition()).Incomplete {
-		return recoverer.PastUnknown
+func (c *Coordinator) past(now time.Time, r *Request) recoverer.FormerOutcome {
+	if r.Job.RequestKey != "" && c.recoverer.Uncertainty(now, r.Job.Submission.Partition()).RecordsIncomplete {
+		return recoverer.FormerOutcomeUnknown
 	}
 	if r.NewID && !r.Resent {
-		return recoverer.PastNone
+		return recoverer.FormerOutcomeNone
 	}
-	past := c.recoverer.Past(now, r.Job.Submission)
-	if r.NewID && past == recoverer.PastRefused {
+	past := c.recoverer.FormerOutcome(now, r.Job.Submission)
+	if r.NewID && past == recoverer.FormerOutcomeNotRun {
 		// Nobody but the resent request asked for the id, and it had no answer.
-		return recoverer.PastNone
+		return recoverer.FormerOutcomeNone
 	}
 	return past
 }
@@ -201,7 +201,7 @@
 		}
 		for _, h := range c.requests.takeHeld(p) {
 			if h.until.IsZero() {
-				h.until = now.Add(c.limits.Owner.LostAfter)
+				h.until = now.Add(c.limits.Owner.AgentLossTimeout)
 			}
 			c.localUntil(now, h.waiter, h.request, h.until)
 		}
--- a/internal/coordinator/roster.go
+++ b/internal/coordinator/roster.go
@@ -15,10 +15,10 @@
 func (c *Coordinator) applyRoster(now time.Time) {
 	roster := c.registrar.Roster(c.self.Region)
 	c.leaser.SetWitnesses(roster.Witnesses)
-	c.self.Roster = roster.Version
+	c.self.RosterVersion = roster.Version
 	c.checkBequests()
-	declared := roster.Declared()
-	c.recoverer.SetDeclared(declared)
+	declared := roster.DeclaredDead()
+	c.recoverer.SetDeclaredDead(declared)
 	for _, peer := range declared {
 		c.expel(now, c.agents[peer])
 	}
@@ -86,10 +86,10 @@
 // lowestAdopted returns the lowest roster version that an entry of this region
 // relies on.
 func (c *Coordinator) lowestAdopted() uint64 {
-	lowest := c.self.Roster
+	lowest := c.self.RosterVersion
 	for _, e := range c.registrar.Entries() {
 		if e.Region == c.self.Region {
-			lowest = min(lowest, e.Roster)
+			lowest = min(lowest, e.RosterVersion)
 		}
 	}
 	return lowest
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -46,8 +46,8 @@
 			Owner:           row.Owner,
 			Epoch:           row.Epoch,
 			Phase:           s.Phase,
-			Missing:         s.Missing,
-			UncertainBefore: s.PastBefore,
+			Missing:         s.MissingAgents,
+			UncertainBefore: s.UncertainBefore,
 		}
 	}
 	return out
@@ -59,7 +59,7 @@
 		Held:          c.leaser.Held(now),
 		Remaining:     max(0, c.leaser.Until().Sub(now)),
 		RowsAge:       now.Sub(c.registrar.ReadAt()),
-		RosterVersion: c.self.Roster,
+		RosterVersion: c.self.RosterVersion,
 	}
 }
 
--- a/internal/coordinator/takeover_test.go
+++ b/internal/coordinator/takeover_test.go
@@ -51,10 +51,10 @@
 
 // productionTimes sets the times that the program's settings have.
 func productionTimes(l *coordinator.Limits) {
-	l.Leaser.Lease, l.Leaser.Margin = 3*time.Second, 100*time.Millisecond
-	l.Recoverer.Lease = 3 * time.Second
-	l.Recoverer.ClockDifference = 2 * time.Second
-	l.Registrar.PollEvery, l.Registrar.RetryEvery = time.Second, 250*time.Millisecond
+	l.Leaser.LeaseDuration, l.Leaser.Margin = 3*time.Second, 100*time.Millisecond
+	l.Recoverer.LeaseDuration = 3 * time.Second
+	l.Recoverer.MaxClockSkew = 2 * time.Second
+	l.Registrar.PollInterval, l.Registrar.RetryInterval = time.Second, 250*time.Millisecond
 	l.Enroller.GoneAfter, l.Enroller.WitnessGoneAfter = 30*time.Second, 5*time.Second
 	l.Enroller.Witnesses = 15
 	l.StartTimeout = 5 * time.Second
--- a/internal/coordinator/world_extras_test.go
+++ b/internal/coordinator/world_extras_test.go
@@ -119,7 +119,7 @@
 
 // checkRegion checks that a task starts in the region of its partition.
 func (w *world) checkRegion(p *process, ref guard.TaskRef) {
-	home := claimer.Home(ref.Submission.Partition(), w.options.regionNames())
+	home := claimer.HomeRegion(ref.Submission.Partition(), w.options.regionNames())
 	if home != p.region {
 		w.oracle.fail("regions: %s/%d of region %s started in region %s", w.oracle.name(ref.Submission), ref.Index, home, p.region)
 	}
--- a/internal/coordinator/world_test.go
+++ b/internal/coordinator/world_test.go
@@ -104,21 +104,21 @@
 	// worldLimits are short, so that a history of few steps has takeovers.
 	worldLimits = coordinator.Limits{
 		Owner: owner.Limits{
-			Window:          worldWindow,
-			ClockDifference: worldClockDifference,
-			MaxRecordBytes:  1 << 20,
-			MaxAnswerBytes:  1 << 20,
-			LostAfter:       300 * time.Millisecond,
-			MaxReplacements: 8,
-			AbandonGrace:    200 * time.Millisecond,
+			Window:           worldWindow,
+			MaxClockSkew:     worldClockDifference,
+			MaxRecordBytes:   1 << 20,
+			MaxAnswerBytes:   1 << 20,
+			AgentLossTimeout: 300 * time.Millisecond,
+			MaxReschedules:   8,
+			AbandonGrace:     200 * time.Millisecond,
 		},
 		Placer:    placer.Limits{MaxQueued: 1000},
-		Registrar: registrar.Limits{PollEvery: 200 * time.Millisecond, RetryEvery: 50 * time.Millisecond},
-		Leaser:    leaser.Limits{Lease: worldLease, Margin: 10 * time.Millisecond},
+		Registrar: registrar.Limits{PollInterval: 200 * time.Millisecond, RetryInterval: 50 * time.Millisecond},
+		Leaser:    leaser.Limits{LeaseDuration: worldLease, Margin: 10 * time.Millisecond},
 		Recoverer: recoverer.Limits{
-			Lease:           worldLease,
-			ClockDifference: worldClockDifference,
-			Window:          worldWindow + 2*worldClockDifference,
+			LeaseDuration: worldLease,
+			MaxClockSkew:  worldClockDifference,
+			Window:        worldWindow + 2*worldClockDifference,
 		},
 		Enroller: enroller.Limits{
 			GoneAfter:        time.Second,
--- a/internal/dispatcher/admin.go
+++ b/internal/dispatcher/admin.go
@@ -43,7 +43,7 @@
 		Now:       time.Now,
 		Pause:     e.platform.Sleep,
 
-		ConfigPatience: administrator.DefaultConfigPatience,
+		ConfigTimeout: administrator.DefaultConfigTimeout,
 	})
 }
 
--- a/internal/dispatcher/parts.go
+++ b/internal/dispatcher/parts.go
@@ -191,7 +191,7 @@
 			Witness:    a.Witness,
 			Fencing:    a.PartitionsFencing,
 			Missing:    a.PartitionsMissing,
-			Heir:       a.Successor,
+			Successor:  a.Successor,
 		}
 		if a.Connected {
 			out[i].ConnectedTo = 1
--- a/internal/enroller/bequeath.go
+++ b/internal/enroller/bequeath.go
@@ -18,6 +18,6 @@
 	next.Version++
 	next.Members = slices.Delete(slices.Clone(current.Members), i, i+1)
 	next.Departed = append(slices.Clone(current.Departed),
-		registrar.Departed{Peer: agent, Version: next.Version, Heir: heir})
+		registrar.Departed{Peer: agent, Version: next.Version, Successor: heir})
 	return next, true
 }
--- a/internal/enroller/enroller.go
+++ b/internal/enroller/enroller.go
@@ -48,12 +48,12 @@
 // the current one is right.
 func Propose(limits Limits, in Input) (registrar.Roster, bool) {
 	next := registrar.Roster{
-		Version:        in.Current.Version + 1,
-		Members:        slices.Clone(in.Current.Members),
-		Departed:       slices.Clone(in.Current.Departed),
-		Witnesses:      slices.Clone(in.Current.Witnesses),
-		Previous:       in.Current.Previous,
-		WitnessVersion: in.Current.WitnessVersion,
+		Version:           in.Current.Version + 1,
+		Members:           slices.Clone(in.Current.Members),
+		Departed:          slices.Clone(in.Current.Departed),
+		Witnesses:         slices.Clone(in.Current.Witnesses),
+		PreviousWitnesses: in.Current.PreviousWitnesses,
+		WitnessVersion:    in.Current.WitnessVersion,
 	}
 	changed := addMembers(&next, in.Connected)
 	changed = removeMembers(&next, &limits, &in) || changed
@@ -66,7 +66,7 @@
 	changed := false
 	for _, m := range connected {
 		i, ok := slices.BinarySearchFunc(r.Members, m.Peer, compareMember)
-		if ok || r.IsGone(m.Peer) {
+		if ok || r.IsRemoved(m.Peer) {
 			continue
 		}
 		r.Members = slices.Insert(r.Members, i, m)
@@ -112,18 +112,18 @@
 // changeWitnesses ends a change of witnesses that every entry has adopted, or
 // begins one. A change is not begun while another is under way.
 func changeWitnesses(r *registrar.Roster, limits *Limits, in *Input) bool {
-	if len(r.Previous) > 0 {
+	if len(r.PreviousWitnesses) > 0 {
 		if in.Adopted < r.WitnessVersion {
 			return false
 		}
-		r.Previous = nil
+		r.PreviousWitnesses = nil
 		return true
 	}
 	wanted := chooseWitnesses(r, limits, in)
 	if slices.Equal(wanted, r.Witnesses) {
 		return false
 	}
-	r.Previous = r.Witnesses
+	r.PreviousWitnesses = r.Witnesses
 	r.Witnesses = wanted
 	r.WitnessVersion = r.Version
 	return true
@@ -134,13 +134,13 @@
 func chooseWitnesses(r *registrar.Roster, limits *Limits, in *Input) []messenger.Peer {
 	var out []messenger.Peer
 	for _, w := range r.Witnesses {
-		if !r.IsGone(w) && (isConnected(in, w) || in.GoneFor(w) < limits.WitnessGoneAfter) {
+		if !r.IsRemoved(w) && (isConnected(in, w) || in.GoneFor(w) < limits.WitnessGoneAfter) {
 			out = append(out, w)
 		}
 	}
 	var candidates []registrar.Member
 	for _, m := range in.Connected {
-		if !slices.Contains(out, m.Peer) && !r.IsGone(m.Peer) {
+		if !slices.Contains(out, m.Peer) && !r.IsRemoved(m.Peer) {
 			candidates = append(candidates, m)
 		}
 	}
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -29,7 +29,7 @@
 	t     *testing.T
 	guard *Guard
 	now   time.Time
-	maker identifier.Maker
+	maker identifier.Generator
 	names map[identifier.Submission]string
 	ids   map[string]identifier.Submission
 	out   strings.Builder
@@ -41,7 +41,7 @@
 		t:     t,
 		guard: New(start, testLimits),
 		now:   start,
-		maker: identifier.Maker{Random: random},
+		maker: identifier.Generator{Random: random},
 		names: make(map[identifier.Submission]string),
 		ids:   make(map[string]identifier.Submission),
 	}
--- a/internal/identifier/maker.go
+++ b/internal/identifier/maker.go
@@ -11,17 +11,17 @@
 
 // Maker makes submission ids from a source of random bits. Makers with equal
 // sources make equal ids, so that what depends on an id can be repeated.
-type Maker struct {
+type Generator struct {
 	// Random gives the random bits. It never fails: an id that is not random
 	// could be another caller's.
 	Random io.Reader
 }
 
 // secure makes the ids of callers, which nobody can foresee.
-var secure = Maker{Random: rand.Reader}
+var secure = Generator{Random: rand.Reader}
 
 // New returns an id made at the given wall-clock time.
-func (m Maker) New(now time.Time) Submission {
+func (m Generator) New(now time.Time) Submission {
 	id := uuid.Must(uuid.NewRandomFromReader(m.Random))
 	millis := uint64(now.UnixMilli())
 	var stamp [8]byte
@@ -32,7 +32,7 @@
 }
 
 // NewIn is the function [NewIn] with the random bits of the maker.
-func (m Maker) NewIn(now time.Time, accept func(Partition) bool) (Submission, bool) {
+func (m Generator) NewIn(now time.Time, accept func(Partition) bool) (Submission, bool) {
 	const tries = 16 * Partitions
 	for range tries {
 		id := m.New(now)
@@ -44,7 +44,7 @@
 }
 
 // NewForKey is the function [NewForKey] with the random bits of the maker.
-func (m Maker) NewForKey(now time.Time, key string) (Submission, bool) {
+func (m Generator) NewForKey(now time.Time, key string) (Submission, bool) {
 	if key == "" {
 		return m.New(now), true
 	}
--- a/internal/invoker/invoker_test.go
+++ b/internal/invoker/invoker_test.go
@@ -123,7 +123,7 @@
 	defer cancel()
 	inv := New(1)
 	defer inv.Close()
-	maker := identifier.Maker{Random: rand.NewChaCha8([32]byte{1})}
+	maker := identifier.Generator{Random: rand.NewChaCha8([32]byte{1})}
 	id := maker.New(time.Unix(1_700_000_000, 0))
 	var out []string
 	for i := range tasks {
--- a/internal/leaser/leaser.go
+++ b/internal/leaser/leaser.go
@@ -21,7 +21,7 @@
 // Limits are the settings of a leaser.
 type Limits struct {
 	// Lease is how long an answer of a witness counts.
-	Lease time.Duration
+	LeaseDuration time.Duration
 	// Margin is taken off the lease at the holder, for clocks that run at
 	// different rates. A new owner waits for the whole lease.
 	Margin time.Duration
@@ -114,7 +114,7 @@
 // answer is older than a third of the lease and who were not asked since.
 func (l *Leaser) Due(now time.Time) []messenger.Peer {
 	var out []messenger.Peer
-	third := l.limits.Lease / 3
+	third := l.limits.LeaseDuration / 3
 	for _, w := range l.witnesses {
 		if now.Sub(l.confirmed[w]) >= third && now.Sub(l.asked[w]) >= third {
 			out = append(out, w)
@@ -123,7 +123,7 @@
 	return out
 }
 
-func (l *Leaser) term() time.Duration { return l.limits.Lease - l.limits.Margin }
+func (l *Leaser) term() time.Duration { return l.limits.LeaseDuration - l.limits.Margin }
 
 func (l *Leaser) isWitness(agent messenger.Peer) bool {
 	_, ok := slices.BinarySearch(l.witnesses, agent)
--- a/internal/owner/agents.go
+++ b/internal/owner/agents.go
@@ -65,7 +65,7 @@
 
 // expireLost fails the jobs with tasks at agents that stay unreachable.
 func (o *Owner) expireLost(now time.Time) {
-	for len(o.lost) > 0 && now.Sub(o.lost[0].since) >= o.limits.LostAfter {
+	for len(o.lost) > 0 && now.Sub(o.lost[0].since) >= o.limits.AgentLossTimeout {
 		agent := o.lost[0].agent
 		o.lost = o.lost[1:]
 		for _, j := range o.jobsAt(agent) {
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -17,12 +17,12 @@
 // loadedOwner returns an owner with the given number of failed jobs of 3 tasks.
 func loadedOwner(jobs int) *Owner {
 	o := New(Limits{
-		Window:          time.Hour,
-		ClockDifference: time.Minute,
-		MaxRecordBytes:  1 << 40,
-		MaxAnswerBytes:  1 << 40,
-		LostAfter:       time.Second,
-		MaxReplacements: 8,
+		Window:           time.Hour,
+		MaxClockSkew:     time.Minute,
+		MaxRecordBytes:   1 << 40,
+		MaxAnswerBytes:   1 << 40,
+		AgentLossTimeout: time.Second,
+		MaxReschedules:   8,
 	})
 	o.AgentUp("agent")
 	for i := range jobs {
--- a/internal/owner/due.go
+++ b/internal/owner/due.go
@@ -77,7 +77,7 @@
 	if j.abandoned.IsZero() || now.Sub(j.abandoned) < o.limits.AbandonGrace || !o.runs(j) {
 		return
 	}
-	if j.phase == phaseRecovered && o.Awaited(now, j.spec.Submission) {
+	if j.phase == phaseRecovered && o.RequestsExpected(now, j.spec.Submission) {
 		o.abandon(now, j)
 		return
 	}
--- a/internal/owner/handover.go
+++ b/internal/owner/handover.go
@@ -81,7 +81,7 @@
 		},
 	}
 	o.add(j)
-	j.keptTill = now.Add(o.limits.Window + o.limits.ClockDifference - h.Age)
+	j.keptTill = now.Add(o.limits.Window + o.limits.MaxClockSkew - h.Age)
 	o.due.push(due{at: j.keptTill, id: j.spec.Submission})
 	if h.Answer != nil {
 		j.phase = phaseAnswered
@@ -130,7 +130,7 @@
 		AnswerLost: j.answerLost,
 	}
 	if j.phase != phaseOpen {
-		h.Age = o.limits.Window + o.limits.ClockDifference - j.keptTill.Sub(now)
+		h.Age = o.limits.Window + o.limits.MaxClockSkew - j.keptTill.Sub(now)
 	}
 	for i := range j.tasks {
 		if j.tasks[i].state != taskWaiting {
--- a/internal/owner/lifecycle.go
+++ b/internal/owner/lifecycle.go
@@ -111,7 +111,7 @@
 // refusal for a stale epoch says that another entry owns the job, so that it is
 // neither placed again nor said not to have run.
 func (o *Owner) taskRefused(now time.Time, j *job, t *task, r *messenger.TaskResult) {
-	if !o.Rules.Proves(r.Refusal) {
+	if !o.Rules.ProvesNotStarted(r.Refusal) {
 		return
 	}
 	if r.Refusal == messenger.RefusalStaleEpoch {
@@ -124,7 +124,7 @@
 		return
 	}
 	t.replacements++
-	if t.replacements > o.limits.MaxReplacements {
+	if t.replacements > o.limits.MaxReschedules {
 		t.state = taskWaiting
 		t.agent = ""
 		o.stop(now, j, submitter.ReasonOverloaded, "task "+itoa(r.Index)+" was refused by too many agents")
@@ -207,7 +207,7 @@
 
 // keep sets how long a job that is not open is kept.
 func (o *Owner) keep(now time.Time, j *job) {
-	j.keptTill = now.Add(o.limits.Window + o.limits.ClockDifference)
+	j.keptTill = now.Add(o.limits.Window + o.limits.MaxClockSkew)
 	o.due.push(due{at: j.keptTill, id: j.spec.Submission})
 }
 
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -29,7 +29,7 @@
 	// window and the permitted clock difference, counted from its answer.
 	Window time.Duration
 	// ClockDifference is how far in the future an id may be made.
-	ClockDifference time.Duration
+	MaxClockSkew time.Duration
 	// MaxRecordBytes bounds the memory of all jobs but for kept results. At the
 	// bound new work is refused; nothing is forgotten.
 	MaxRecordBytes int
@@ -37,9 +37,9 @@
 	// oldest are dropped, and their submissions are answered with answer-lost.
 	MaxAnswerBytes int
 	// LostAfter is how long the tasks at an unreachable agent are awaited.
-	LostAfter time.Duration
+	AgentLossTimeout time.Duration
 	// MaxReplacements bounds how often one task may be placed again after a refusal.
-	MaxReplacements int
+	MaxReschedules int
 	// AbandonGrace is how long a job goes on when no request waits for it.
 	AbandonGrace time.Duration
 }
@@ -99,32 +99,32 @@
 	Rules Rules
 	// Awaited reports whether requests for a recovered job may be on their way to
 	// this owner, so that it is not yet known that nobody asks for the job.
-	Awaited   func(now time.Time, s identifier.Submission) bool
-	jobs      jobSet
-	open      int                              // open counts the jobs in phase open.
-	waiting   map[Waiter]*job                  // waiting has the job of each request that waits.
-	keys      map[string]identifier.Submission // keys has the submission that holds each request key.
-	agents    map[messenger.Peer]*agentJobs    // agents has the agents with tasks of open jobs.
-	connected map[messenger.Peer]bool
-	lost      []lostAgent             // lost has the unreachable agents in order of loss.
-	due       dueHeap                 // due has the times at which a job must be looked at.
-	kept      []identifier.Submission // kept has the jobs with results, oldest first.
-	latest    time.Time               // latest is the latest wall-clock time seen; it never goes back.
-	bytes     int                     // bytes is the memory of all jobs but for kept results.
-	results   int                     // results is the memory of kept results.
-	out       Output
+	RequestsExpected func(now time.Time, s identifier.Submission) bool
+	jobs             jobSet
+	open             int                              // open counts the jobs in phase open.
+	waiting          map[Waiter]*job                  // waiting has the job of each request that waits.
+	keys             map[string]identifier.Submission // keys has the submission that holds each request key.
+	agents           map[messenger.Peer]*agentJobs    // agents has the agents with tasks of open jobs.
+	connected        map[messenger.Peer]bool
+	lost             []lostAgent             // lost has the unreachable agents in order of loss.
+	due              dueHeap                 // due has the times at which a job must be looked at.
+	kept             []identifier.Submission // kept has the jobs with results, oldest first.
+	latest           time.Time               // latest is the latest wall-clock time seen; it never goes back.
+	bytes            int                     // bytes is the memory of all jobs but for kept results.
+	results          int                     // results is the memory of kept results.
+	out              Output
 }
 
 // New returns an owner without jobs.
 func New(limits Limits) *Owner {
 	return &Owner{
-		limits:    limits,
-		Rules:     DefaultRules(),
-		Awaited:   func(time.Time, identifier.Submission) bool { return false },
-		waiting:   make(map[Waiter]*job),
-		keys:      make(map[string]identifier.Submission),
-		agents:    make(map[messenger.Peer]*agentJobs),
-		connected: make(map[messenger.Peer]bool),
+		limits:           limits,
+		Rules:            DefaultRules(),
+		RequestsExpected: func(time.Time, identifier.Submission) bool { return false },
+		waiting:          make(map[Waiter]*job),
+		keys:             make(map[string]identifier.Submission),
+		agents:           make(map[messenger.Peer]*agentJobs),
+		connected:        make(map[messenger.Peer]bool),
 	}
 }
 
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -15,13 +15,13 @@
 )
 
 var testLimits = Limits{
-	Window:          time.Minute,
-	ClockDifference: 5 * time.Second,
-	MaxRecordBytes:  8 * jobBytes,
-	MaxAnswerBytes:  4 * (sliceBytes + 1),
-	LostAfter:       2 * time.Second,
-	MaxReplacements: 1,
-	AbandonGrace:    time.Second,
+	Window:           time.Minute,
+	MaxClockSkew:     5 * time.Second,
+	MaxRecordBytes:   8 * jobBytes,
+	MaxAnswerBytes:   4 * (sliceBytes + 1),
+	AgentLossTimeout: 2 * time.Second,
+	MaxReschedules:   1,
+	AbandonGrace:     time.Second,
 }
 
 // TestScripts runs each script with many sets of ids: what an owner does may not depend
@@ -38,7 +38,7 @@
 	owners map[string]*Owner
 	owner  *Owner
 	now    time.Time
-	ids    identifier.Maker
+	ids    identifier.Generator
 	names  map[identifier.Submission]string
 	jobs   map[string]Job
 	held   bool
@@ -50,7 +50,7 @@
 		t:      t,
 		owners: make(map[string]*Owner),
 		now:    time.Unix(1_700_000_000, 0),
-		ids:    identifier.Maker{Random: random},
+		ids:    identifier.Generator{Random: random},
 		names:  make(map[identifier.Submission]string),
 		jobs:   make(map[string]Job),
 		held:   true,
@@ -68,7 +68,7 @@
 	o := b.owners[name]
 	if o == nil {
 		o = New(testLimits)
-		o.Rules.Holds = func(identifier.Partition) bool { return b.held }
+		o.Rules.HoldsPartition = func(identifier.Partition) bool { return b.held }
 		o.AgentUp("x")
 		o.AgentUp("y")
 		b.owners[name] = o
--- a/internal/owner/rules.go
+++ b/internal/owner/rules.go
@@ -13,9 +13,9 @@
 type Rules struct {
 	// Holds reports whether this entry holds the partition now. Only then may it
 	// answer not-run: another owner may have started the job otherwise.
-	Holds func(p identifier.Partition) bool
+	HoldsPartition func(p identifier.Partition) bool
 	// Proves reports whether a refusal proves that the task did not start.
-	Proves func(r messenger.Refusal) bool
+	ProvesNotStarted func(r messenger.Refusal) bool
 	// TooOld reports whether an id of the given age must be refused, because its
 	// record may be gone.
 	TooOld func(age, window time.Duration) bool
@@ -30,11 +30,11 @@
 // lose partitions replaces Holds.
 func DefaultRules() Rules {
 	return Rules{
-		Holds:       func(identifier.Partition) bool { return true },
-		Proves:      func(r messenger.Refusal) bool { return r != messenger.RefusalDuplicate },
-		TooOld:      func(age, window time.Duration) bool { return age > window },
-		KeepsNotRun: func() bool { return true },
-		HoldsKey:    func() bool { return true },
+		HoldsPartition:   func(identifier.Partition) bool { return true },
+		ProvesNotStarted: func(r messenger.Refusal) bool { return r != messenger.RefusalDuplicate },
+		TooOld:           func(age, window time.Duration) bool { return age > window },
+		KeepsNotRun:      func() bool { return true },
+		HoldsKey:         func() bool { return true },
 	}
 }
 
@@ -49,8 +49,8 @@
 	switch {
 	case o.Rules.TooOld(age, o.limits.Window):
 		return unknown(in.Submission, submitter.ReasonStale, "the submission id is older than "+o.limits.Window.String())
-	case -age > o.limits.ClockDifference:
-		return unknown(in.Submission, submitter.ReasonFuture, "the submission id is further in the future than "+o.limits.ClockDifference.String())
+	case -age > o.limits.MaxClockSkew:
+		return unknown(in.Submission, submitter.ReasonFuture, "the submission id is further in the future than "+o.limits.MaxClockSkew.String())
 	case in.RequestKey != "" && identifier.KeyPartition(in.RequestKey) != in.Submission.Partition():
 		return unknown(in.Submission, submitter.ReasonConflictingRequest, "the submission id is not of the partition of its request key")
 	case o.bytes > o.limits.MaxRecordBytes+o.limits.MaxRecordBytes/8:
@@ -75,7 +75,7 @@
 // notRun returns the answer that nothing ran and nothing will, or one that claims
 // nothing if this entry may not hold the partition.
 func (o *Owner) notRun(s identifier.Submission, reason submitter.Reason, detail string, retryAfter time.Duration) *messenger.Answer {
-	if !o.Rules.Holds(s.Partition()) {
+	if !o.Rules.HoldsPartition(s.Partition()) {
 		return unknown(s, submitter.ReasonOwnerChanged, "the entry may have lost the partition of the submission: "+detail)
 	}
 	return &messenger.Answer{
--- a/internal/owner/status.go
+++ b/internal/owner/status.go
@@ -82,7 +82,7 @@
 
 // Open returns the open jobs of a service and a team in the order of their ids.
 // An empty name stands for all.
-func (o *Owner) Open(service, team string) []identifier.Submission {
+func (o *Owner) OpenJobs(service, team string) []identifier.Submission {
 	var jobs []*job
 	for j := range o.jobs.all() {
 		if j.phase == phaseOpen && (service == "" || service == j.spec.Service) && (team == "" || team == j.spec.Team) {
--- a/internal/recoverer/recoverer.go
+++ b/internal/recoverer/recoverer.go
@@ -24,9 +24,9 @@
 // Limits are the settings of a recoverer.
 type Limits struct {
 	// Lease is the lease time of owners.
-	Lease time.Duration
+	LeaseDuration time.Duration
 	// ClockDifference is by how much the wall clocks of two processes may differ.
-	ClockDifference time.Duration
+	MaxClockSkew time.Duration
 	// Window is the deduplication window.
 	Window time.Duration
 }
@@ -37,17 +37,17 @@
 	// Majority returns how many of n witnesses must have acknowledged an epoch.
 	Majority func(n int) int
 	// Waited reports whether the wait that ends at the given time is over.
-	Waited func(now, end time.Time) bool
+	WaitOver func(now, end time.Time) bool
 	// Complete reports whether every record is known while n agents have not answered.
-	Complete func(n int) bool
+	RecordsComplete func(n int) bool
 }
 
 // DefaultRules returns the rules of production.
 func DefaultRules() Rules {
 	return Rules{
-		Majority: func(n int) int { return n/2 + 1 },
-		Waited:   func(now, end time.Time) bool { return !now.Before(end) },
-		Complete: func(n int) bool { return n == 0 },
+		Majority:        func(n int) int { return n/2 + 1 },
+		WaitOver:        func(now, end time.Time) bool { return !now.Before(end) },
+		RecordsComplete: func(n int) bool { return n == 0 },
 	}
 }
 
@@ -64,13 +64,13 @@
 )
 
 // Past says what may have become of an id under a former owner.
-type Past string
+type FormerOutcome string
 
 // The kinds of past of an id that no agent has reported.
 const (
-	PastNone    Past = "none"    // No former owner can have had the id.
-	PastRefused Past = "refused" // The id did not run; a former owner may have said so.
-	PastUnknown Past = "unknown" // The id may have run.
+	FormerOutcomeNone    FormerOutcome = "none"    // No former owner can have had the id.
+	FormerOutcomeNotRun  FormerOutcome = "refused" // The id did not run; a former owner may have said so.
+	FormerOutcomeUnknown FormerOutcome = "unknown" // The id may have run.
 )
 
 // Status is what operators see of a partition.
@@ -78,9 +78,9 @@
 	Phase Phase
 	Epoch uint64
 	// Missing are the agents whose records are not known, sorted.
-	Missing []messenger.Peer
+	MissingAgents []messenger.Peer
 	// PastBefore is the end of the ids that have a past; zero if there are none.
-	PastBefore time.Time
+	UncertainBefore time.Time
 }
 
 // Recoverer holds the state of every partition at one entry.
@@ -99,18 +99,18 @@
 	epoch    uint64
 	takeover *takeover // takeover is nil for a partition without an uncertain past.
 	// inherited is what came with a handover.
-	inherited Inheritance
+	inherited Uncertainty
 	// activeSince is when the partition became active; zero before, and for one
 	// that nobody owned before.
 	activeSince time.Time
 }
 
 // Inheritance is what an owner that hands a partition over knows of its past.
-type Inheritance struct {
+type Uncertainty struct {
 	// Before is the end of the ids that have a past; zero if there are none.
 	Before time.Time
 	// Incomplete means that some agent's records are not known.
-	Incomplete bool
+	RecordsIncomplete bool
 }
 
 // New returns a recoverer that owns nothing.
@@ -133,9 +133,9 @@
 func (r *Recoverer) Status(now time.Time, p identifier.Partition) Status {
 	t := &r.tenures[p]
 	s := Status{Phase: r.Phase(p), Epoch: t.epoch}
-	s.PastBefore = r.Inheritance(now, p).Before
+	s.UncertainBefore = r.Uncertainty(now, p).Before
 	if t.takeover != nil {
-		s.Missing = slices.Clone(t.takeover.missing)
+		s.MissingAgents = slices.Clone(t.takeover.missing)
 	}
 	return s
 }
@@ -155,7 +155,7 @@
 
 // BeginHandover starts the tenure of a partition that its former owner passed on
 // after it had stopped.
-func (r *Recoverer) BeginHandover(now time.Time, p messenger.PartitionEpoch, in Inheritance) {
+func (r *Recoverer) BeginHandover(now time.Time, p messenger.PartitionEpoch, in Uncertainty) {
 	r.tenures[p.Partition] = tenure{phase: PhaseActive, epoch: p.Epoch, inherited: in, activeSince: now}
 }
 
@@ -178,29 +178,29 @@
 func (r *Recoverer) ActiveSince(p identifier.Partition) time.Time { return r.tenures[p].activeSince }
 
 // Inheritance returns what is known of a partition's past.
-func (r *Recoverer) Inheritance(now time.Time, p identifier.Partition) Inheritance {
+func (r *Recoverer) Uncertainty(now time.Time, p identifier.Partition) Uncertainty {
 	t := &r.tenures[p]
 	in := t.inherited
 	if k := t.takeover; k != nil && k.active {
 		in.Before = latest(in.Before, k.pastBefore)
-		in.Incomplete = in.Incomplete || !r.rules.Complete(len(k.missing))
+		in.RecordsIncomplete = in.RecordsIncomplete || !r.rules.RecordsComplete(len(k.missing))
 	}
 	if now.Sub(in.Before) > r.limits.Window {
-		return Inheritance{}
+		return Uncertainty{}
 	}
 	return in
 }
 
 // Past returns what may have become of an id that nobody reported.
-func (r *Recoverer) Past(now time.Time, s identifier.Submission) Past {
-	in := r.Inheritance(now, s.Partition())
+func (r *Recoverer) FormerOutcome(now time.Time, s identifier.Submission) FormerOutcome {
+	in := r.Uncertainty(now, s.Partition())
 	switch {
 	case !s.Time().Before(in.Before):
-		return PastNone
-	case in.Incomplete:
-		return PastUnknown
+		return FormerOutcomeNone
+	case in.RecordsIncomplete:
+		return FormerOutcomeUnknown
 	}
-	return PastRefused
+	return FormerOutcomeNotRun
 }
 
 // Tick applies the passing of time. It reports whether a partition became active.
--- a/internal/recoverer/takeover.go
+++ b/internal/recoverer/takeover.go
@@ -29,14 +29,14 @@
 	t := &takeover{
 		witnesses: [][]messenger.Peer{slices.Clone(roster.Witnesses)},
 	}
-	if len(roster.Previous) > 0 {
-		t.witnesses = append(t.witnesses, slices.Clone(roster.Previous))
+	if len(roster.PreviousWitnesses) > 0 {
+		t.witnesses = append(t.witnesses, slices.Clone(roster.PreviousWitnesses))
 	}
 	for _, m := range roster.Members {
 		t.missing = append(t.missing, m.Peer)
 	}
 	for _, d := range roster.Departed {
-		if d.Heir == "" { // The heir of another is a member or departed itself.
+		if d.Successor == "" { // The heir of another is a member or departed itself.
 			t.missing = append(t.missing, d.Peer)
 		}
 	}
@@ -51,11 +51,11 @@
 
 // SetDeclared replaces the agents that an operator has declared dead. No takeover
 // waits for what they say.
-func (r *Recoverer) SetDeclared(agents []messenger.Peer) { r.declared = agents }
+func (r *Recoverer) SetDeclaredDead(agents []messenger.Peer) { r.declared = agents }
 
 // Fencing returns the witnesses that a partition in phase fencing waits for: one
 // of them at least must answer or be declared dead. It is nil in other phases.
-func (r *Recoverer) Fencing(p identifier.Partition) []messenger.Peer {
+func (r *Recoverer) UnfencedWitnesses(p identifier.Partition) []messenger.Peer {
 	t := &r.tenures[p]
 	if t.phase != PhaseFencing || t.takeover == nil {
 		return nil
@@ -71,7 +71,7 @@
 }
 
 // Missing reports whether the records of an agent are awaited.
-func (r *Recoverer) Missing(agent messenger.Peer) bool {
+func (r *Recoverer) AwaitsRecords(agent messenger.Peer) bool {
 	return slices.ContainsFunc(r.open, func(t *takeover) bool {
 		_, missing := slices.BinarySearch(t.missing, agent)
 		_, unfenced := slices.BinarySearch(t.unfenced, agent)
@@ -82,7 +82,7 @@
 // Fenced applies an agent's answer to the epochs that it was sent together. An
 // agent has answered for a takeover once one answer covers all its partitions.
 func (r *Recoverer) Fenced(now time.Time, agent messenger.Peer, answer []messenger.Fenced) {
-	if !r.Missing(agent) {
+	if !r.AwaitsRecords(agent) {
 		return
 	}
 	var answered [identifier.Partitions]bool
@@ -128,13 +128,13 @@
 		t.fencedAt = now
 		r.setPhase(t, PhaseWaiting)
 	}
-	if t.fencedAt.IsZero() || !r.rules.Waited(now, t.fencedAt.Add(r.limits.Lease)) {
+	if t.fencedAt.IsZero() || !r.rules.WaitOver(now, t.fencedAt.Add(r.limits.LeaseDuration)) {
 		return
 	}
 	t.active = true
 	// Each of two clocks may be off: that of the caller who made the id against
 	// the former owner's, and the former owner's against this entry's.
-	t.pastBefore = now.Add(2 * r.limits.ClockDifference)
+	t.pastBefore = now.Add(2 * r.limits.MaxClockSkew)
 	r.setPhase(t, PhaseActive)
 	for p := range r.tenures {
 		if r.tenures[p].takeover == t {
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -27,9 +27,9 @@
 // Limits are the settings of a registrar.
 type Limits struct {
 	// PollEvery is the period at which the table is looked at.
-	PollEvery time.Duration
+	PollInterval time.Duration
 	// RetryEvery is the pause after a read that failed.
-	RetryEvery time.Duration
+	RetryInterval time.Duration
 }
 
 // Rules has the checks that the safety of ownership rests on. Tests replace
@@ -105,10 +105,10 @@
 }
 
 // Known reports whether the rows were read at least once.
-func (r *Registrar) Known() bool { return !r.readAt.IsZero() }
+func (r *Registrar) Loaded() bool { return !r.readAt.IsZero() }
 
 // Reachable reports whether the latest call of the platform had an answer.
-func (r *Registrar) Reachable() bool { return r.Known() && !r.failing }
+func (r *Registrar) Reachable() bool { return r.Loaded() && !r.failing }
 
 // ReadAt returns when the rows were last known to be current.
 func (r *Registrar) ReadAt() time.Time { return r.readAt }
@@ -118,7 +118,7 @@
 
 // Idle reports whether a write may be proposed: the rows are known, none is
 // under way, and the rows were read after the last one.
-func (r *Registrar) Idle() bool { return r.Known() && r.writing == 0 && !r.stale }
+func (r *Registrar) Idle() bool { return r.Loaded() && r.writing == 0 && !r.stale }
 
 // Entries returns the entries in the order of their names.
 func (r *Registrar) Entries() []Entry { return r.entries }
@@ -157,21 +157,21 @@
 // than the rows, they are read at once.
 func (r *Registrar) Hint(now time.Time, revision uint64) {
 	r.hint = max(r.hint, revision)
-	if r.hint > r.revision && len(r.reading) == 0 && r.Known() {
+	if r.hint > r.revision && len(r.reading) == 0 && r.Loaded() {
 		r.readAll(now)
 	}
 }
 
 // Tick asks for the rows at each period.
 func (r *Registrar) Tick(now time.Time) {
-	period := r.limits.PollEvery
+	period := r.limits.PollInterval
 	if r.failing {
-		period = r.limits.RetryEvery
+		period = r.limits.RetryInterval
 	}
 	if len(r.reading) > 0 || (!r.polledAt.IsZero() && now.Sub(r.polledAt) < period) {
 		return
 	}
-	if !r.Known() || r.stale {
+	if !r.Loaded() || r.stale {
 		r.readAll(now)
 		return
 	}
@@ -252,7 +252,7 @@
 
 // applyAll replaces the rows by those that were read together.
 func (r *Registrar) applyAll(rows storer.Range) {
-	if rows.Revision == r.revision && r.Known() {
+	if rows.Revision == r.revision && r.Loaded() {
 		return
 	}
 	r.revision = rows.Revision
--- a/internal/registrar/row.go
+++ b/internal/registrar/row.go
@@ -36,7 +36,7 @@
 	// Draining means that the entry takes no partitions.
 	Draining bool `json:"draining,omitempty"`
 	// Roster is the version of the region's roster that the entry relies on.
-	Roster uint64 `json:"roster"`
+	RosterVersion uint64 `json:"roster"`
 	// Recovering means that the entry has taken partitions over and that their
 	// former owners may not be fenced yet.
 	Recovering bool `json:"recovering,omitempty"`
@@ -73,7 +73,7 @@
 	Witnesses []messenger.Peer `json:"witnesses"`
 	// Previous are the witnesses that some entry may still rely on, sorted; empty
 	// once every entry relies on Witnesses.
-	Previous []messenger.Peer `json:"previous,omitempty"`
+	PreviousWitnesses []messenger.Peer `json:"previous,omitempty"`
 	// WitnessVersion is the version at which Witnesses last changed.
 	WitnessVersion uint64 `json:"witness-version"`
 }
@@ -98,11 +98,11 @@
 	DeclaredAt time.Time `json:"declared-at,omitzero"`
 	// Heir is the agent that has the records, if the agent left in good order. Such
 	// an agent is never a member again.
-	Heir messenger.Peer `json:"heir,omitempty"`
+	Successor messenger.Peer `json:"heir,omitempty"`
 }
 
 // gone reports whether the agent can be no member any more.
-func (d *Departed) gone() bool { return !d.DeclaredAt.IsZero() || d.Heir != "" }
+func (d *Departed) gone() bool { return !d.DeclaredAt.IsZero() || d.Successor != "" }
 
 // RegionRoster is a region's roster with the revision of its row.
 type RegionRoster struct {
@@ -122,7 +122,7 @@
 }
 
 // Declared returns the agents that an operator has declared dead, sorted.
-func (r *Roster) Declared() []messenger.Peer {
+func (r *Roster) DeclaredDead() []messenger.Peer {
 	var out []messenger.Peer
 	for i := range r.Departed {
 		if !r.Departed[i].DeclaredAt.IsZero() {
@@ -134,15 +134,15 @@
 }
 
 // IsGone reports whether the agent has departed for good.
-func (r *Roster) IsGone(peer messenger.Peer) bool {
+func (r *Roster) IsRemoved(peer messenger.Peer) bool {
 	return slices.ContainsFunc(r.Departed, func(d Departed) bool { return d.Peer == peer && d.gone() })
 }
 
 // Heir returns the agent that has the records of a departed one; empty if none has.
-func (r *Roster) Heir(peer messenger.Peer) messenger.Peer {
+func (r *Roster) Successor(peer messenger.Peer) messenger.Peer {
 	for i := range r.Departed {
 		if r.Departed[i].Peer == peer {
-			return r.Departed[i].Heir
+			return r.Departed[i].Successor
 		}
 	}
 	return ""
@@ -150,7 +150,7 @@
 
 // IsWitness reports whether a lease may rest on the agent.
 func (r *Roster) IsWitness(peer messenger.Peer) bool {
-	return slices.Contains(r.Witnesses, peer) || slices.Contains(r.Previous, peer)
+	return slices.Contains(r.Witnesses, peer) || slices.Contains(r.PreviousWitnesses, peer)
 }
 
 // EntryPut returns the write of an entry's row.
--- a/internal/reporter/report.go
+++ b/internal/reporter/report.go
@@ -106,7 +106,7 @@
 
 // Make reports on the objectives of the services. Services that had no jobs are
 // included. A window longer than [MaxWindow] is cut to it.
-func Make(now time.Time, window time.Duration, services []configurer.Service, counts *Snapshot) *Report {
+func NewReport(now time.Time, window time.Duration, services []configurer.Service, counts *Snapshot) *Report {
 	window = min(window, MaxWindow)
 	r := &Report{Made: now, Window: submitter.Duration(window)}
 	for i := range services {
--- a/internal/reporter/reporter_test.go
+++ b/internal/reporter/reporter_test.go
@@ -131,7 +131,7 @@
 			all = append(all, r.Snapshot(b.now))
 		}
 	}
-	r := Make(b.now, window, testServices, Sum(all))
+	r := NewReport(b.now, window, testServices, Sum(all))
 	fmt.Fprintf(&b.out, "after %s, over %s\n", b.now.Sub(testStart), window)
 	for i := range r.Objectives {
 		o := &r.Objectives[i]
@@ -212,7 +212,7 @@
 	r.Record(testStart, Event{Service: "<b>", Outcome: submitter.OutcomeFailed, Reason: submitter.ReasonTaskFailed})
 	services := []configurer.Service{{Name: "<b>", Objective: configurer.Objective{SuccessRatio: 0.9}}}
 	counts := r.Snapshot(testStart)
-	report := Make(testStart, time.Hour, services, counts)
+	report := NewReport(testStart, time.Hour, services, counts)
 	report.Missing = []Missing{{Entry: "entry-9", Detail: "did not answer"}}
 	page, err := Page(report, services, counts)
 	if err != nil {
@@ -234,7 +234,7 @@
 	r := New()
 	r.Record(testStart, Event{Service: "quote", Outcome: submitter.OutcomeFailed, Reason: submitter.ReasonTaskFailed})
 	counts := r.Snapshot(testStart)
-	report := Make(testStart, time.Hour, testServices, counts)
+	report := NewReport(testStart, time.Hour, testServices, counts)
 	plot, err := Plot(report, testServices, counts)
 	if err != nil {
 		t.Fatal(err)
@@ -248,7 +248,7 @@
 func TestReportNames(t *testing.T) {
 	r := New()
 	r.Record(testStart, Event{Service: "quote", Outcome: submitter.OutcomeComplete, Slow: true})
-	text, err := json.Marshal(Make(testStart, time.Hour, testServices[1:], r.Snapshot(testStart)).Objectives[0])
+	text, err := json.Marshal(NewReport(testStart, time.Hour, testServices[1:], r.Snapshot(testStart)).Objectives[0])
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/surveyor/state.go
+++ b/internal/surveyor/state.go
@@ -146,13 +146,13 @@
 func ownerWithJobs(now time.Time, n int) *owner.Owner {
 	const agent = "agent"
 	o := owner.New(owner.Limits{
-		Window:          stateWindow,
-		ClockDifference: time.Minute,
-		MaxRecordBytes:  plenty,
-		MaxAnswerBytes:  plenty,
-		LostAfter:       time.Second,
-		MaxReplacements: 1,
-		AbandonGrace:    time.Minute,
+		Window:           stateWindow,
+		MaxClockSkew:     time.Minute,
+		MaxRecordBytes:   plenty,
+		MaxAnswerBytes:   plenty,
+		AgentLossTimeout: time.Second,
+		MaxReschedules:   1,
+		AbandonGrace:     time.Minute,
 	})
 	for range n {
 		job := owner.Job{
