--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -63,7 +63,7 @@
 	server   *http.Server
 	links    *linker.Linker
 	counts   connector.Counts
-	shelf    cataloguer.Shelf
+	shelf    cataloguer.Store
 	tickets  atomic.Uint64
 	serving  atomic.Bool
 	draining atomic.Bool // draining means that the process shuts down.
@@ -101,7 +101,7 @@
 		waiters:  make(map[uint64]chan<- assigner.Answer),
 	}
 	b.background, b.stop = context.WithCancel(context.Background())
-	b.loop = controller.NewOnClock(timer.NewSteadyClock(), b.flush)
+	b.loop = controller.NewOnClock(timer.NewBootTimeClock(), b.flush)
 	identity := meter.Identity{Role: string(messenger.RoleEntry), Peer: string(b.peer), Region: s.Region, DataCentre: s.DataCentre}
 	if b.meter, err = meter.New(identity, meter.Sources{Traffic: &b.counts, Busy: b.loop.Busy, Entry: b.state}); err != nil {
 		_ = l.Close()
@@ -109,7 +109,7 @@
 	}
 	options := connector.Options{Hello: b.hello, Counts: &b.counts}
 	b.links = linker.New(b.background, b.loop, options, linker.Hooks{
-		Up: b.up, Receive: b.receive, Down: b.down, Failed: b.unreached,
+		Up: b.up, Receive: b.receive, Down: b.down, DialFailed: b.unreached,
 	})
 	b.links.Add(true, b.others(s.Entries)...)
 	mux := http.NewServeMux()
@@ -247,15 +247,15 @@
 }
 
 // Close makes the broker reject new jobs.
-func (b *Broker) Close() { b.loop.Post(func(time.Time) { b.assigner.StopAdmitting() }) }
+func (b *Broker) StopAdmitting() { b.loop.Post(func(time.Time) { b.assigner.StopAdmitting() }) }
 
 // GiveUp answers every job that has no answer yet.
-func (b *Broker) GiveUp() {
+func (b *Broker) AbandonAll() {
 	b.loop.Call(func(now time.Time) { b.assigner.AbandonAll(b.loop.Elapsed(now)) })
 }
 
 // Learn takes peer addresses of entries, from wherever they are known.
-func (b *Broker) Learn(entries []netip.AddrPort) {
+func (b *Broker) AddEntries(entries []netip.AddrPort) {
 	b.loop.Post(func(time.Time) { b.links.Add(false, b.others(entries)...) })
 }
 
--- a/internal/broker/drain.go
+++ b/internal/broker/drain.go
@@ -24,13 +24,13 @@
 	for time.Since(begun) < grace-giveUpBefore {
 		time.Sleep(drainPoll)
 		if !closed && time.Since(begun) >= grace-closeBefore {
-			b.Close()
+			b.StopAdmitting()
 			closed = true
 		}
 		if time.Since(begun) >= notice && b.Outstanding() == 0 {
 			break
 		}
 	}
-	b.GiveUp()
+	b.AbandonAll()
 	time.Sleep(flushPause)
 }
--- a/internal/cataloguer/cataloguer.go
+++ b/internal/cataloguer/cataloguer.go
@@ -19,15 +19,15 @@
 
 // Queue is a kind of job.
 type Queue struct {
-	Name        string        `cbor:"1,keyasint"`
-	Host        string        `cbor:"2,keyasint"` // Host is that of the queue's requests; empty stands for any.
-	Prefix      string        `cbor:"3,keyasint"` // Prefix is what the paths of its requests begin with.
-	Service     string        `cbor:"4,keyasint"` // Service names the upstreams that run its tasks.
-	Priority    int           `cbor:"5,keyasint,omitempty"`
-	MaxAttempts int           `cbor:"6,keyasint,omitempty"` // MaxAttempts is at least 1.
-	Stretch     float64       `cbor:"7,keyasint,omitempty"` // Stretch is how often a job may take its longest chain of work.
-	Allowance   time.Duration `cbor:"8,keyasint,omitempty"` // Allowance is what a job may take besides.
-	Advised     bool          `cbor:"9,keyasint,omitempty"` // Advised means that another service must allow each upstream.
+	Name             string        `cbor:"1,keyasint"`
+	Host             string        `cbor:"2,keyasint"` // Host is that of the queue's requests; empty stands for any.
+	Prefix           string        `cbor:"3,keyasint"` // Prefix is what the paths of its requests begin with.
+	Service          string        `cbor:"4,keyasint"` // Service names the upstreams that run its tasks.
+	Priority         int           `cbor:"5,keyasint,omitempty"`
+	MaxAttempts      int           `cbor:"6,keyasint,omitempty"` // MaxAttempts is at least 1.
+	SlowdownFactor   float64       `cbor:"7,keyasint,omitempty"` // Stretch is how often a job may take its longest chain of work.
+	LatencyAllowance time.Duration `cbor:"8,keyasint,omitempty"` // Allowance is what a job may take besides.
+	RequiresAdvice   bool          `cbor:"9,keyasint,omitempty"` // Advised means that another service must allow each upstream.
 }
 
 // Catalogue is one version of the configuration.
@@ -99,13 +99,13 @@
 }
 
 // Shelf has the version in force in a process.
-type Shelf struct {
+type Store struct {
 	cell controller.Cell[Catalogue]
 }
 
 // Offer puts a version in force if it is higher than the present one, and reports
 // whether it did. It must be called on one goroutine at a time.
-func (s *Shelf) Offer(c *Catalogue) bool {
+func (s *Store) Offer(c *Catalogue) bool {
 	if present := s.cell.Read(); present != nil && present.Version >= c.Version {
 		return false
 	}
@@ -114,4 +114,4 @@
 }
 
 // InForce returns the version in force, or nil if there is none yet.
-func (s *Shelf) InForce() *Catalogue { return s.cell.Read() }
+func (s *Store) InForce() *Catalogue { return s.cell.Read() }
--- a/internal/cataloguer/cataloguer_test.go
+++ b/internal/cataloguer/cataloguer_test.go
@@ -8,9 +8,9 @@
 )
 
 var sample = Catalogue{Version: 3, MaxBodyBytes: 10, Queues: []Queue{
-	{Name: "a", Host: "a.example", Prefix: "/x/", Service: "s", MaxAttempts: 1, Stretch: 1.5, Allowance: time.Second},
+	{Name: "a", Host: "a.example", Prefix: "/x/", Service: "s", MaxAttempts: 1, SlowdownFactor: 1.5, LatencyAllowance: time.Second},
 	{Name: "b", Host: "a.example", Prefix: "/x/y/", Service: "s", MaxAttempts: 2},
-	{Name: "c", Prefix: "/z/", Service: "t", MaxAttempts: 1, Advised: true},
+	{Name: "c", Prefix: "/z/", Service: "t", MaxAttempts: 1, RequiresAdvice: true},
 }}
 
 func TestFind(t *testing.T) {
@@ -52,7 +52,7 @@
 }
 
 func TestShelfNeverGoesBack(t *testing.T) {
-	var s Shelf
+	var s Store
 	var got []bool
 	for _, v := range []uint64{3, 2, 3, 5, 4} {
 		got = append(got, s.Offer(&Catalogue{Version: v}))
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -55,7 +55,7 @@
 func (l *Loop) Elapsed(now time.Time) time.Duration { return now.Sub(l.clock.Start) }
 
 // WallAhead returns how far the wall clock is ahead of the clock of the loop.
-func (l *Loop) WallAhead() time.Duration { return l.clock.Ahead(time.Now()) }
+func (l *Loop) WallClockOffset() time.Duration { return l.clock.OffsetOf(time.Now()) }
 
 // Busy returns the time that the control thread has spent on its events, and how
 // many it has applied.
--- a/internal/coordinator/bequests.go
+++ b/internal/coordinator/bequests.go
@@ -113,7 +113,7 @@
 		if b == nil || !b.stored {
 			continue
 		}
-		if next, ok := enroller.Bequeath(current.Roster, agent, b.heir); ok {
+		if next, ok := enroller.TransferRecords(current.Roster, agent, b.heir); ok {
 			return storer.Transaction{
 				Conditions: []storer.Condition{registrar.RosterCondition(current)},
 				Puts:       []storer.Put{registrar.RosterPut(c.self.Region, next)},
--- a/internal/coordinator/roster.go
+++ b/internal/coordinator/roster.go
@@ -52,11 +52,11 @@
 	}
 	current := c.registrar.Roster(c.self.Region)
 	next, changed := enroller.Propose(c.limits.Enroller, enroller.Input{
-		Current:   current,
-		Connected: c.connectedAgents(),
-		GoneFor:   func(peer messenger.Peer) time.Duration { return c.goneFor(now, peer) },
-		Adopted:   c.lowestAdopted(),
-		Now:       now,
+		Current:         current,
+		Connected:       c.connectedAgents(),
+		UnreachableFor:  func(peer messenger.Peer) time.Duration { return c.goneFor(now, peer) },
+		MinVersionInUse: c.lowestAdopted(),
+		Now:             now,
 	})
 	if !changed {
 		return storer.Transaction{}, false
--- a/internal/coordinator/takeover_test.go
+++ b/internal/coordinator/takeover_test.go
@@ -55,7 +55,7 @@
 	l.Recoverer.LeaseDuration = 3 * time.Second
 	l.Recoverer.MaxClockSkew = 2 * time.Second
 	l.Registrar.PollInterval, l.Registrar.RetryInterval = time.Second, 250*time.Millisecond
-	l.Enroller.GoneAfter, l.Enroller.WitnessGoneAfter = 30*time.Second, 5*time.Second
+	l.Enroller.UnreachableTimeout, l.Enroller.WitnessUnreachableTimeout = 30*time.Second, 5*time.Second
 	l.Enroller.Witnesses = 15
 	l.StartTimeout = 5 * time.Second
 	l.SuspicionTimeout, l.EntryHeartbeatInterval, l.MinConnectionAge = time.Second, 250*time.Millisecond, time.Second
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -200,7 +200,7 @@
 // reportClock logs that the wall clock is not what it was at the start. The entry
 // goes on by its own clock and refuses ids that are too far from that.
 func (e *Entry) reportClock() {
-	if ahead := e.loop.WallAhead(); ahead.Abs() > e.settings.Limits.Owner.MaxClockSkew {
+	if ahead := e.loop.WallClockOffset(); ahead.Abs() > e.settings.Limits.Owner.MaxClockSkew {
 		e.settings.Logger.Warn().
 			Str("event", "clock-stepped").
 			Dur("wall-clock-ahead", ahead).
--- a/internal/enroller/enroller.go
+++ b/internal/enroller/enroller.go
@@ -21,10 +21,10 @@
 // Limits are the settings of an enroller.
 type Limits struct {
 	// GoneAfter is how long a member may be out of reach before it leaves.
-	GoneAfter time.Duration
+	UnreachableTimeout time.Duration
 	// WitnessGoneAfter is how long a witness may be out of reach before another
 	// member takes its place.
-	WitnessGoneAfter time.Duration
+	WitnessUnreachableTimeout time.Duration
 	// Window is the deduplication window.
 	Window time.Duration
 	// Witnesses is the number of witnesses wanted; it is odd.
@@ -37,9 +37,9 @@
 	// Connected are the agents of the region that are connected, sorted by name.
 	Connected []registrar.Member
 	// GoneFor returns how long a member that is not connected has been out of reach.
-	GoneFor func(messenger.Peer) time.Duration
+	UnreachableFor func(messenger.Peer) time.Duration
 	// Adopted is the lowest roster version that any entry of the region relies on.
-	Adopted uint64
+	MinVersionInUse uint64
 	// Now is the wall-clock time.
 	Now time.Time
 }
@@ -81,7 +81,7 @@
 func removeMembers(r *registrar.Roster, limits *Limits, in *Input) bool {
 	before := len(r.Members)
 	r.Members = slices.DeleteFunc(r.Members, func(m registrar.Member) bool {
-		if isConnected(in, m.Peer) || r.IsWitness(m.Peer) || in.GoneFor(m.Peer) < limits.GoneAfter {
+		if isConnected(in, m.Peer) || r.IsWitness(m.Peer) || in.UnreachableFor(m.Peer) < limits.UnreachableTimeout {
 			return false
 		}
 		r.Departed = append(r.Departed, registrar.Departed{Peer: m.Peer, Version: r.Version})
@@ -96,7 +96,7 @@
 	changed := false
 	for i := range r.Departed {
 		d := &r.Departed[i]
-		if d.SettledAt.IsZero() && in.Adopted >= d.Version {
+		if d.SettledAt.IsZero() && in.MinVersionInUse >= d.Version {
 			d.SettledAt = in.Now
 			changed = true
 		}
@@ -113,7 +113,7 @@
 // begins one. A change is not begun while another is under way.
 func changeWitnesses(r *registrar.Roster, limits *Limits, in *Input) bool {
 	if len(r.PreviousWitnesses) > 0 {
-		if in.Adopted < r.WitnessVersion {
+		if in.MinVersionInUse < r.WitnessVersion {
 			return false
 		}
 		r.PreviousWitnesses = nil
@@ -134,7 +134,7 @@
 func chooseWitnesses(r *registrar.Roster, limits *Limits, in *Input) []messenger.Peer {
 	var out []messenger.Peer
 	for _, w := range r.Witnesses {
-		if !r.IsRemoved(w) && (isConnected(in, w) || in.GoneFor(w) < limits.WitnessGoneAfter) {
+		if !r.IsRemoved(w) && (isConnected(in, w) || in.UnreachableFor(w) < limits.WitnessUnreachableTimeout) {
 			out = append(out, w)
 		}
 	}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -64,17 +64,17 @@
 	Stop func(ctx context.Context, c runner.StopCall) bool
 	// Ask takes note of ends, renews the lease for the given time unless it is 0, and
 	// returns what the upstream runs, after the wait or with the first end.
-	Ask func(ctx context.Context, q runner.Question, renew, wait time.Duration) (runner.Listing, Silence)
+	Poll func(ctx context.Context, q runner.Question, renew, wait time.Duration) (runner.Listing, PollStatus)
 }
 
 // Silence says why a question has no answer.
-type Silence string
+type PollStatus string
 
 // The reasons.
 const (
-	SilenceNone   Silence = ""       // The question has an answer.
-	SilenceLost   Silence = "lost"   // What became of the question is not known.
-	SilenceClosed Silence = "closed" // Nothing listens at the upstream's address.
+	PollAnswered PollStatus = ""       // The question has an answer.
+	PollLost     PollStatus = "lost"   // What became of the question is not known.
+	PollRefused  PollStatus = "closed" // Nothing listens at the upstream's address.
 )
 
 // Settings are the settings of a keeper.
@@ -121,10 +121,10 @@
 		conns:    make(map[messenger.Peer]*connector.Conn),
 	}
 	k.background, k.stop = context.WithCancel(context.Background())
-	k.loop = controller.NewOnClock(timer.NewSteadyClock(), k.flush)
+	k.loop = controller.NewOnClock(timer.NewBootTimeClock(), k.flush)
 	options := connector.Options{Hello: k.hello, Counts: &k.counts}
 	k.links = linker.New(k.background, k.loop, options, linker.Hooks{
-		Up: k.up, Receive: k.receive, Down: k.down, Failed: k.unreached,
+		Up: k.up, Receive: k.receive, Down: k.down, DialFailed: k.unreached,
 	})
 	k.links.Add(true, s.Entries...)
 	identity := meter.Identity{Role: string(messenger.RoleAgent), Peer: string(k.peer), Region: s.Region, DataCentre: s.DataCentre}
@@ -212,21 +212,21 @@
 			renew = q.Renew - asked
 		}
 		askCtx, cancel := context.WithTimeout(ctx, askFor+callTimeout)
-		l, silence := k.settings.Driver.Ask(askCtx, q, renew, askFor)
+		l, silence := k.settings.Driver.Poll(askCtx, q, renew, askFor)
 		cancel()
 		l.AskedAt = asked
 		k.loop.Call(func(now time.Time) {
-			if silence == SilenceNone {
+			if silence == PollAnswered {
 				k.runner.Listed(k.loop.Elapsed(now), l)
 				return
 			}
-			k.runner.Unanswered(k.loop.Elapsed(now), silence == SilenceClosed)
+			k.runner.Unanswered(k.loop.Elapsed(now), silence == PollRefused)
 		})
-		if silence == SilenceNone {
+		if silence == PollAnswered {
 			lost = 0
 			continue
 		}
-		if lost++; silence == SilenceClosed || lost > hastyAsks {
+		if lost++; silence == PollRefused || lost > hastyAsks {
 			timer.Sleep(ctx, askPause)
 		}
 	}
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -13,14 +13,14 @@
 // TestAskIsPaced checks that an upstream whose connections break at once is not asked
 // without a pause.
 func TestAskIsPaced(t *testing.T) {
-	for _, silence := range []Silence{SilenceLost, SilenceClosed} {
+	for _, silence := range []PollStatus{PollLost, PollRefused} {
 		t.Run(string(silence), func(t *testing.T) {
 			var asked atomic.Int64
 			j := journaler.New("info", t.Output())
 			defer j.Close()
 			k, err := New(Settings{
 				Instance: "agent-1", Journal: j,
-				Driver: Driver{Ask: func(context.Context, runner.Question, time.Duration, time.Duration) (runner.Listing, Silence) {
+				Driver: Driver{Poll: func(context.Context, runner.Question, time.Duration, time.Duration) (runner.Listing, PollStatus) {
 					asked.Add(1)
 					return runner.Listing{}, silence
 				}},
--- a/internal/launcher/control.go
+++ b/internal/launcher/control.go
@@ -96,7 +96,7 @@
 }
 
 // Starts adds the number of starts of each task over all upstreams.
-func (s *System) Starts(into map[emulator.TaskRef]int) {
+func (s *System) AddStarts(into map[emulator.TaskRef]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range s.Upstreams {
--- a/internal/linker/linker.go
+++ b/internal/linker/linker.go
@@ -43,7 +43,7 @@
 	Down func(now time.Time, c *connector.Conn, cause error)
 	// Failed is told of a dial that did not lead to a connection. Unlike the others it is
 	// called on the goroutine of the dial.
-	Failed func(addr netip.AddrPort, err error)
+	DialFailed func(addr netip.AddrPort, err error)
 }
 
 // Linker keeps the connections of one process.
@@ -129,7 +129,7 @@
 	}()
 	conn, err := connector.Dial(l.ctx, "ws://"+addr.String()+connector.Path, l.options)
 	if err != nil {
-		l.hooks.Failed(addr, err)
+		l.hooks.DialFailed(addr, err)
 		return
 	}
 	connected = l.Serve(conn)
--- a/internal/loader/embedded.go
+++ b/internal/loader/embedded.go
@@ -19,7 +19,7 @@
 		},
 		Starts: func(into map[TaskRef]int) error {
 			starts := make(map[emulator.TaskRef]int)
-			s.Starts(starts)
+			s.AddStarts(starts)
 			for ref, n := range starts {
 				into[TaskRef(ref)] += n
 			}
--- a/internal/timer/clock.go
+++ b/internal/timer/clock.go
@@ -22,7 +22,7 @@
 func (c Clock) Now() time.Time { return c.Start.Add(c.Elapsed()) }
 
 // Ahead returns how far the wall clock is ahead of this clock.
-func (c Clock) Ahead(wall time.Time) time.Duration {
+func (c Clock) OffsetOf(wall time.Time) time.Duration {
 	// Without monotonic readings the wall-clock times are compared.
 	return wall.Round(0).Sub(c.Now().Round(0))
 }
--- a/internal/timer/clock_test.go
+++ b/internal/timer/clock_test.go
@@ -15,7 +15,7 @@
 			t.Errorf("after %s the clock is at %s, want %s", elapsed, got, want)
 		}
 		const step = -time.Minute
-		if got := c.Ahead(start.Add(elapsed + step)); got != step {
+		if got := c.OffsetOf(start.Add(elapsed + step)); got != step {
 			t.Errorf("the wall clock is %s ahead, want %s", got, step)
 		}
 	}
--- a/internal/timer/steady.go
+++ b/internal/timer/steady.go
@@ -9,7 +9,7 @@
 // NewSteadyClock returns a clock that begins now and counts the time in which the
 // machine was suspended as well, which the monotonic clock does not. A process that
 // holds leases on others' behalf must notice that time.
-func NewSteadyClock() Clock {
+func NewBootTimeClock() Clock {
 	begun := sinceBoot()
 	return Clock{Start: time.Now(), Elapsed: func() time.Duration { return sinceBoot() - begun }}
 }
