--- a/cmd/sardinelock/cmd/config_apply.go
+++ b/cmd/sardinelock/cmd/config_apply.go
@@ -112,13 +112,13 @@
 // apply makes the change, prints what became of it and returns its exit code.
 func (f *versionFlags) apply(c *cobra.Command, v *versions, output outputFlag, content configurer.Version, rollbackTo uint64) error {
 	change := versioner.Change{
-		ID:         cmp.Or(f.id, versioner.NewChangeID()),
-		Expect:     f.expect,
-		Operator:   f.operator,
-		Comment:    f.comment,
-		RollbackTo: rollbackTo,
-		Content:    content,
-		Repeated:   f.id != "",
+		ID:            cmp.Or(f.id, versioner.NewChangeID()),
+		ExpectVersion: f.expect,
+		Operator:      f.operator,
+		Comment:       f.comment,
+		RollbackTo:    rollbackTo,
+		Content:       content,
+		Repeated:      f.id != "",
 	}
 	ctx, cancel := context.WithTimeout(c.Context(), f.timeout)
 	defer cancel()
--- a/cmd/sardinelock/cmd/config_test.go
+++ b/cmd/sardinelock/cmd/config_test.go
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	r := versioner.New(storer.New(system.PlatformAddr))
-	result, err := r.Apply(t.Context(), versioner.Change{ID: "c-2", Expect: 1, Content: *v})
+	result, err := r.Apply(t.Context(), versioner.Change{ID: "c-2", ExpectVersion: 1, Content: *v})
 	if err != nil || result.Verdict != versioner.VerdictAccepted {
 		t.Fatalf("got %+v, %v", result, err)
 	}
@@ -89,7 +89,7 @@
 	await(t, "an agent", system.Agents[0].ConfigStatus, 2, applier.StateUnconfirmed)
 
 	system.Platform.SetFaults(emulator.Faults{})
-	if _, err := r.Apply(t.Context(), versioner.Change{ID: "c-3", Expect: 2, Content: *v}); err != nil {
+	if _, err := r.Apply(t.Context(), versioner.Change{ID: "c-3", ExpectVersion: 2, Content: *v}); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "the late entry", late.ConfigStatus, 3, applier.StateCurrent)
--- a/cmd/sardinelock/cmd/settings.go
+++ b/cmd/sardinelock/cmd/settings.go
@@ -234,7 +234,7 @@
 		RetainFor:      retainFor,
 		RetainBytes:    retainBytes,
 		MaxWaiting:     maxWaiting,
-		EchoFor:        echoFor,
-		HoldFor:        guard.DefaultHoldFor,
+		MaxEchoDelay:   echoFor,
+		MaxResultDelay: guard.DefaultMaxResultDelay,
 	}
 }
--- a/cmd/sardinelock/cmd/versions.go
+++ b/cmd/sardinelock/cmd/versions.go
@@ -84,7 +84,7 @@
 // adminChange returns a change as the administration API takes it. The entry names
 // the operator by the token.
 func adminChange(c *versioner.Change) administrator.ConfigChange {
-	out := administrator.ConfigChange{Expect: &c.Expect, Comment: c.Comment, RollbackTo: c.RollbackTo, Repeated: c.Repeated}
+	out := administrator.ConfigChange{Expect: &c.ExpectVersion, Comment: c.Comment, RollbackTo: c.RollbackTo, Repeated: c.Repeated}
 	if c.RollbackTo > 0 {
 		return out
 	}
--- a/internal/administrator/config.go
+++ b/internal/administrator/config.go
@@ -82,14 +82,14 @@
 		return result, problem
 	}
 	made, err := s.versions.Apply(ctx, versioner.Change{
-		ID:         id,
-		Expect:     *asked.Expect,
-		Operator:   who.Name,
-		Comment:    asked.Comment,
-		RollbackTo: asked.RollbackTo,
-		Content:    *content,
-		Repeated:   asked.Repeated,
-		Puts:       []storer.Put{recordPut(record)},
+		ID:            id,
+		ExpectVersion: *asked.Expect,
+		Operator:      who.Name,
+		Comment:       asked.Comment,
+		RollbackTo:    asked.RollbackTo,
+		Content:       *content,
+		Repeated:      asked.Repeated,
+		Puts:          []storer.Put{recordPut(record)},
 	})
 	if err != nil {
 		return nil, versionProblem(err)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -202,8 +202,8 @@
 	for time.Now().Before(deadline) {
 		over, kept := true, false
 		a.loop.Call(func(now time.Time) {
-			a.guard.Bequeath(now)
-			over, kept = a.guard.Bequeathed()
+			a.guard.TransferRecords(now)
+			over, kept = a.guard.RecordsTransferred()
 			over = over || len(a.conns) == 0 && now.After(alone)
 		})
 		if kept {
@@ -222,7 +222,7 @@
 // not be called on the control thread.
 func (a *Agent) idle() bool {
 	idle := true
-	a.loop.Call(func(time.Time) { idle = a.guard.Running()+a.guard.Waiting()+a.guard.Held() == 0 })
+	a.loop.Call(func(time.Time) { idle = a.guard.Running()+a.guard.Waiting()+a.guard.DelayedResults() == 0 })
 	return idle
 }
 
@@ -242,7 +242,7 @@
 	}
 	for _, s := range out.Sends {
 		if conn := a.conns[s.To]; conn != nil {
-			s.Frame.Config = a.follower.Ride(now, s.To)
+			s.Frame.Config = a.follower.TakeReport(now, s.To)
 			conn.Send(s.Frame)
 		}
 	}
--- a/internal/applier/applier.go
+++ b/internal/applier/applier.go
@@ -75,7 +75,7 @@
 func (a *Applier) HeadRead(now time.Time, number uint64, err error) {
 	asked := a.headAsked
 	a.headAsked = time.Time{}
-	a.nextPoll = asked.Add(a.limits.PollEvery)
+	a.nextPoll = asked.Add(a.limits.PollInterval)
 	a.tableAnswers = err == nil
 	if err != nil {
 		return
@@ -141,7 +141,7 @@
 
 // Tick applies the passing of time.
 func (a *Applier) Tick(now time.Time) {
-	if now.Sub(a.started) >= a.limits.SettleFor {
+	if now.Sub(a.started) >= a.limits.DiscoveryPeriod {
 		a.settled = true
 	}
 	if a.settle(now) {
@@ -164,7 +164,7 @@
 func (a *Applier) Take(now time.Time) Output {
 	if a.dirty {
 		a.dirty = false
-		a.nextScan = now.Add(a.limits.RetryEvery / 2)
+		a.nextScan = now.Add(a.limits.RetryInterval / 2)
 		a.fetch(now)
 		for _, p := range a.peers {
 			a.tell(now, p)
@@ -203,7 +203,7 @@
 		a.documentWait = true
 		a.out.ReadDocument = a.highest
 	}
-	patience := a.limits.RetryEvery / 2
+	patience := a.limits.RetryInterval / 2
 	waiting := a.documentWait && now.Sub(a.lackedSince) < patience
 	if waiting || now.Before(a.nextAsk) {
 		return
@@ -245,9 +245,9 @@
 		m.Document = a.inForce.Text
 	}
 	a.out.Sends = append(a.out.Sends, Send{
-		To:       p.hello.Peer,
-		Config:   m,
-		Settings: lagging && p.hello.Role == messenger.RoleAgent,
+		To:          p.hello.Peer,
+		Config:      m,
+		AddSettings: lagging && p.hello.Role == messenger.RoleAgent,
 	})
 }
 
@@ -256,9 +256,9 @@
 // reported the version after a while.
 func (a *Applier) turn(now time.Time, p *peer) bool {
 	if p.told == a.inForce.Number {
-		return now.Sub(p.toldAt) >= a.limits.RetryEvery
+		return now.Sub(p.toldAt) >= a.limits.RetryInterval
 	}
-	if p.hello.Role == messenger.RoleEntry || now.Sub(a.since) >= a.limits.RetryEvery {
+	if p.hello.Role == messenger.RoleEntry || now.Sub(a.since) >= a.limits.RetryInterval {
 		return true
 	}
 	return a.first(p.hello.Peer)
@@ -279,7 +279,7 @@
 
 // readsTable reports whether the table said lately which version is current.
 func (a *Applier) readsTable(now time.Time) bool {
-	return !a.confirmed.IsZero() && now.Sub(a.confirmed) <= a.limits.FreshFor
+	return !a.confirmed.IsZero() && now.Sub(a.confirmed) <= a.limits.ConfirmationTTL
 }
 
 // fresh reports whether this entry would learn of a later version, from the table
--- a/internal/applier/applier_test.go
+++ b/internal/applier/applier_test.go
@@ -235,7 +235,7 @@
 	a.PeerUp(now, messenger.Hello{Peer: "new", Role: messenger.RoleEntry, ConfigVersion: 5})
 	a.Receive(now, "new", &messenger.Config{Version: 5, Document: text(5)})
 	a.Receive(now, "old", &messenger.Config{Version: 3, Document: text(3)})
-	now = now.Add(DefaultLimits().SettleFor)
+	now = now.Add(DefaultLimits().DiscoveryPeriod)
 	a.Tick(now)
 	if out := a.Take(now); out.InForce == nil || out.InForce.Number != 5 {
 		t.Errorf("got %+v in force, want version 5", out.InForce)
--- a/internal/applier/follower.go
+++ b/internal/applier/follower.go
@@ -81,7 +81,7 @@
 
 // Tick applies the passing of time.
 func (f *Follower) Tick(now time.Time) {
-	if f.connected && now.Sub(f.started) >= f.limits.SettleFor {
+	if f.connected && now.Sub(f.started) >= f.limits.DiscoveryPeriod {
 		f.settled = true
 	}
 	if f.settle(now) {
@@ -91,7 +91,7 @@
 
 // Ride returns the report that is owed to an entry, or nil, so that it goes with
 // another message to the entry.
-func (f *Follower) Ride(now time.Time, entry messenger.Peer) *messenger.Config {
+func (f *Follower) TakeReport(now time.Time, entry messenger.Peer) *messenger.Config {
 	i := slices.IndexFunc(f.entries, func(s *source) bool { return s.peer == entry && s.owed })
 	if i < 0 {
 		return nil
@@ -104,7 +104,7 @@
 func (f *Follower) Take(now time.Time) FollowerOutput {
 	out := FollowerOutput{InForce: f.take()}
 	for _, s := range f.entries {
-		if s.owed && now.Sub(s.owedAt) >= f.limits.ReportWithin {
+		if s.owed && now.Sub(s.owedAt) >= f.limits.MaxReportDelay {
 			s.owed = false
 			out.Sends = append(out.Sends, Send{To: s.peer, Config: f.report(now)})
 		}
--- a/internal/applier/register.go
+++ b/internal/applier/register.go
@@ -26,28 +26,28 @@
 // Limits are the settings of an applier or follower.
 type Limits struct {
 	// PollEvery is the pause between two reads of the current number.
-	PollEvery time.Duration
+	PollInterval time.Duration
 	// FreshFor is how long the answer to a read proves that a process can learn
 	// the current version.
-	FreshFor time.Duration
+	ConfirmationTTL time.Duration
 	// RetryEvery is the pause before a message that had no effect is repeated.
-	RetryEvery time.Duration
+	RetryInterval time.Duration
 	// SettleFor is how long a process without a version listens before it takes
 	// one that does not come from the table.
-	SettleFor time.Duration
+	DiscoveryPeriod time.Duration
 	// ReportWithin is how long a report of an agent waits for another message to
 	// the same entry that it can ride on.
-	ReportWithin time.Duration
+	MaxReportDelay time.Duration
 }
 
 // DefaultLimits returns the limits that processes run with.
 func DefaultLimits() Limits {
 	return Limits{
-		PollEvery:    time.Second,
-		FreshFor:     8 * time.Second,
-		RetryEvery:   2 * time.Second,
-		SettleFor:    3 * time.Second,
-		ReportWithin: time.Second,
+		PollInterval:    time.Second,
+		ConfirmationTTL: 8 * time.Second,
+		RetryInterval:   2 * time.Second,
+		DiscoveryPeriod: 3 * time.Second,
+		MaxReportDelay:  time.Second,
 	}
 }
 
@@ -63,7 +63,7 @@
 	Config *messenger.Config
 	// Settings is set if the message must carry the settings of the agent as its
 	// document, which the sender of the message adds.
-	Settings bool
+	AddSettings bool
 }
 
 // State says how a process stands to the current version.
--- a/internal/applier/world_test.go
+++ b/internal/applier/world_test.go
@@ -288,7 +288,7 @@
 func (w *world) send(from *node, sends []Send) {
 	for _, s := range sends {
 		m := *s.Config
-		if s.Settings {
+		if s.AddSettings {
 			m.Document = text(m.Version)
 		}
 		w.sent++
--- a/internal/coordinator/bequest_test.go
+++ b/internal/coordinator/bequest_test.go
@@ -19,9 +19,9 @@
 	w.flush(p)
 	w.settle(100 * time.Millisecond)
 	kept := w.until(time.Second, func() bool {
-		p.guard.Bequeath(p.now(w))
+		p.guard.TransferRecords(p.now(w))
 		w.flush(p)
-		_, kept := p.guard.Bequeathed()
+		_, kept := p.guard.RecordsTransferred()
 		return kept
 	})
 	w.kill(p)
@@ -118,9 +118,9 @@
 		if !p.acts() || !p.leaving || random.IntN(3) == 0 {
 			continue
 		}
-		p.guard.Bequeath(p.now(w))
+		p.guard.TransferRecords(p.now(w))
 		w.flush(p)
-		if over, has := p.guard.Bequeathed(); over && random.IntN(2) == 0 {
+		if over, has := p.guard.RecordsTransferred(); over && random.IntN(2) == 0 {
 			if has {
 				kept++
 			}
--- a/internal/coordinator/needed_test.go
+++ b/internal/coordinator/needed_test.go
@@ -32,7 +32,7 @@
 		name: "start record",
 		guardRules: func(r *guard.Rules) {
 			r.Duplicate = func(bool) bool { return false }
-			r.Recorded = func() bool { return false }
+			r.ReportRecords = func() bool { return false }
 		},
 	},
 	{
@@ -94,7 +94,7 @@
 	{
 		name:       "proof of a refusal",
 		ownerRules: func(r *owner.Rules) { r.ProvesNotStarted = func(messenger.Refusal) bool { return true } },
-		guardRules: func(r *guard.Rules) { r.Recorded = func() bool { return false } },
+		guardRules: func(r *guard.Rules) { r.ReportRecords = func() bool { return false } },
 	},
 }
 
--- a/internal/dispatcher/config.go
+++ b/internal/dispatcher/config.go
@@ -181,7 +181,7 @@
 	if conn == nil {
 		return
 	}
-	if s.Settings {
+	if s.AddSettings {
 		settings, err := e.versions.inForce.composed.Site(conn.Hello().DataCentre).EncodeAgentSettings()
 		if err != nil {
 			e.settings.Logger.Error().Err(err).Msg("the settings of an agent cannot be encoded")
--- a/internal/experimenter/system.go
+++ b/internal/experimenter/system.go
@@ -67,8 +67,8 @@
 
 		agentNumbers: make(map[messenger.Peer]int),
 	}
-	if s.settings.Guard.HoldFor == 0 {
-		s.settings.Guard.HoldFor = guard.DefaultHoldFor
+	if s.settings.Guard.MaxResultDelay == 0 {
+		s.settings.Guard.MaxResultDelay = guard.DefaultMaxResultDelay
 	}
 	s.build()
 	s.plan()
--- a/internal/guard/credit.go
+++ b/internal/guard/credit.go
@@ -10,7 +10,7 @@
 
 // DefaultHoldFor is the setting of Limits.HoldFor that suits most deployments. It
 // is longer than most tasks run, so that a job's results leave an agent together.
-const DefaultHoldFor = time.Second
+const DefaultMaxResultDelay = time.Second
 
 // resources is what the tasks at the agent take: credits of entries while they
 // wait or run, memory and accelerators while they run.
@@ -124,7 +124,7 @@
 // hold keeps a result back while others of its job are to come from here and
 // reports whether it does. A failure is never held: it ends the job.
 func (g *Guard) hold(now time.Time, to messenger.Peer, s identifier.Submission, r messenger.TaskResult) bool {
-	if r.Kind != messenger.ResultDone || g.resources.open[s] == 0 || g.limits.HoldFor <= 0 {
+	if r.Kind != messenger.ResultDone || g.resources.open[s] == 0 || g.limits.MaxResultDelay <= 0 {
 		return false
 	}
 	l := g.entries[to]
@@ -144,7 +144,7 @@
 			continue
 		}
 		if l.frame == nil && !g.wanted(now, l) {
-			g.out.wakeBy(l.heldSince.Add(g.limits.HoldFor))
+			g.out.wakeBy(l.heldSince.Add(g.limits.MaxResultDelay))
 			continue
 		}
 		held := l.held
@@ -158,7 +158,7 @@
 // wanted reports whether held results should go now: they are old, an echo goes
 // now anyway, or the entry waits for credit and the agent runs out of work.
 func (g *Guard) wanted(now time.Time, l *link) bool {
-	if now.Sub(l.heldSince) >= g.limits.HoldFor || g.mustEcho(now, l) {
+	if now.Sub(l.heldSince) >= g.limits.MaxResultDelay || g.mustEcho(now, l) {
 		return true
 	}
 	if l.backlog == 0 {
--- a/internal/guard/epochs.go
+++ b/internal/guard/epochs.go
@@ -40,7 +40,7 @@
 		if !g.Rules.StaleEpoch(p.Epoch, g.epochs[p.Partition]) {
 			g.raise(p.Partition, p.Epoch)
 			g.holders[p.Partition] = from
-			if g.Rules.Recorded() {
+			if g.Rules.ReportRecords() {
 				answer.Records = append(g.records.of(p.Partition, f.UnsettledOnly),
 					g.adopted.of(p.Partition, f.UnsettledOnly)...)
 			}
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -37,10 +37,10 @@
 	MaxWaiting int
 	// EchoFor bounds how long the echo of a ping that came with starts waits for
 	// their results. It must be much shorter than a lease. Zero sends it at once.
-	EchoFor time.Duration
+	MaxEchoDelay time.Duration
 	// HoldFor is how long a result may wait for others of its job, so that they go
 	// in one message. Zero sends each at once.
-	HoldFor time.Duration
+	MaxResultDelay time.Duration
 	// Credits are the settings of the division of slots between entries.
 	Credits creditor.Limits
 }
@@ -134,7 +134,7 @@
 func (g *Guard) Waiting() int { return g.waiting.len() }
 
 // Held returns the number of results that wait to be sent with others.
-func (g *Guard) Held() int {
+func (g *Guard) DelayedResults() int {
 	n := 0
 	for _, entry := range g.order {
 		n += len(g.entries[entry].held)
--- a/internal/guard/hold.go
+++ b/internal/guard/hold.go
@@ -14,7 +14,7 @@
 	if l.prompt || l.frame != nil {
 		return now, false
 	}
-	until = l.owed.Add(g.limits.EchoFor)
+	until = l.owed.Add(g.limits.MaxEchoDelay)
 	return until, now.Before(until)
 }
 
--- a/internal/guard/hold_test.go
+++ b/internal/guard/hold_test.go
@@ -27,7 +27,7 @@
 	h.id = identifier.New(h.now)
 	h.guard = New(h.now, Limits{
 		Window: time.Minute, MaxRecordBytes: 1 << 20, MaxWaiting: 10,
-		EchoFor: 250 * time.Millisecond, HoldFor: 2 * time.Millisecond,
+		MaxEchoDelay: 250 * time.Millisecond, MaxResultDelay: 2 * time.Millisecond,
 	})
 	h.guard.EntryUp(h.now, "entry")
 	h.guard.Announce(h.now, invoker.Announcement{
--- a/internal/guard/rules.go
+++ b/internal/guard/rules.go
@@ -25,18 +25,18 @@
 	// clock.
 	Expired func(clock, startBy time.Duration) bool
 	// Recorded reports whether an owner is told of what has started.
-	Recorded func() bool
+	ReportRecords func() bool
 }
 
 // DefaultRules returns the checks that the system relies on.
 func DefaultRules() Rules {
 	return Rules{
-		Duplicate:  func(started bool) bool { return started },
-		Unadmitted: func(admitted bool) bool { return !admitted },
-		StaleEpoch: func(epoch, highest uint64) bool { return epoch < highest },
-		Cancelled:  func(cancelled bool) bool { return cancelled },
-		Expired:    func(clock, startBy time.Duration) bool { return clock > startBy },
-		Recorded:   func() bool { return true },
+		Duplicate:     func(started bool) bool { return started },
+		Unadmitted:    func(admitted bool) bool { return !admitted },
+		StaleEpoch:    func(epoch, highest uint64) bool { return epoch < highest },
+		Cancelled:     func(cancelled bool) bool { return cancelled },
+		Expired:       func(clock, startBy time.Duration) bool { return clock > startBy },
+		ReportRecords: func() bool { return true },
 	}
 }
 
--- a/internal/guard/will.go
+++ b/internal/guard/will.go
@@ -31,7 +31,7 @@
 
 // Bequeath passes the records on, through the first entry that is connected. It must
 // be called again until [Guard.Bequeathed]; it does nothing while a task runs or waits.
-func (g *Guard) Bequeath(_ time.Time) {
+func (g *Guard) TransferRecords(_ time.Time) {
 	if g.running+g.waiting.len() > 0 || g.will.over || g.will.entry != "" {
 		return
 	}
@@ -52,7 +52,7 @@
 
 // Bequeathed reports whether the passing of the records is over, and whether an heir
 // has them.
-func (g *Guard) Bequeathed() (over, kept bool) { return g.will.over, g.will.kept }
+func (g *Guard) RecordsTransferred() (over, kept bool) { return g.will.over, g.will.kept }
 
 // divide returns all records in pieces.
 func (g *Guard) divide() []messenger.RecordTransfer {
--- a/internal/guard/will_test.go
+++ b/internal/guard/will_test.go
@@ -16,7 +16,7 @@
 // anything to say. It returns the number of pieces and their encoded bytes.
 func passOn(t *testing.T, from, heir *Guard) (pieces, size int) {
 	t.Helper()
-	from.Bequeath(benchStart)
+	from.TransferRecords(benchStart)
 	for {
 		var next []messenger.RecordTransfer
 		for _, s := range from.Take(benchStart).Sends {
@@ -60,7 +60,7 @@
 	from, heir := loadedGuard(3), loadedGuard(0)
 	running := benchID(7)
 	from.Receive(benchStart, benchEntry, startFrame(running, 4))
-	from.Bequeath(benchStart)
+	from.TransferRecords(benchStart)
 	for _, s := range from.Take(benchStart).Sends {
 		if len(s.Frame.RecordTransfers) > 0 {
 			t.Fatal("an agent passes its records on while a task runs")
@@ -76,7 +76,7 @@
 		t.Error("an agent starts a task after it has passed its records on")
 	}
 	// The agent has left; its heir takes nothing while it leaves itself.
-	heir.Bequeath(benchStart)
+	heir.TransferRecords(benchStart)
 	heir.Receive(benchStart, benchEntry, &messenger.Frame{RecordTransfers: []messenger.RecordTransfer{{Agent: "other"}}})
 	for _, s := range heir.Take(benchStart).Sends {
 		for _, m := range s.Frame.RecordTransferStatuses {
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -64,7 +64,7 @@
 	Stop func(ctx context.Context, c runner.StopCall) bool
 	// Ask takes note of ends, renews the lease for the given time unless it is 0, and
 	// returns what the upstream runs, after the wait or with the first end.
-	Poll func(ctx context.Context, q runner.Question, renew, wait time.Duration) (runner.Listing, PollStatus)
+	Poll func(ctx context.Context, q runner.PollRequest, renew, wait time.Duration) (runner.Listing, PollStatus)
 }
 
 // Silence says why a question has no answer.
@@ -177,7 +177,7 @@
 
 // dial connects to entries, once nothing is left of earlier connections.
 func (k *Keeper) dial(now time.Time) {
-	if k.runner.Orphaned() {
+	if k.runner.HasOrphans() {
 		return
 	}
 	k.links.DialDue(now)
@@ -201,26 +201,26 @@
 func (k *Keeper) ask(ctx context.Context) {
 	lost := 0 // lost counts the questions without an answer since the last one with.
 	for ctx.Err() == nil {
-		var q runner.Question
+		var q runner.PollRequest
 		var asked time.Duration
 		k.loop.Call(func(now time.Time) {
 			asked = k.loop.Elapsed(now)
-			q = k.runner.Ask(asked)
+			q = k.runner.NextPoll(asked)
 		})
 		renew := time.Duration(0)
-		if q.Renew > 0 {
-			renew = q.Renew - asked
+		if q.LeaseUntil > 0 {
+			renew = q.LeaseUntil - asked
 		}
 		askCtx, cancel := context.WithTimeout(ctx, askFor+callTimeout)
 		l, silence := k.settings.Driver.Poll(askCtx, q, renew, askFor)
 		cancel()
-		l.AskedAt = asked
+		l.RequestedAt = asked
 		k.loop.Call(func(now time.Time) {
 			if silence == PollAnswered {
 				k.runner.Listed(k.loop.Elapsed(now), l)
 				return
 			}
-			k.runner.Unanswered(k.loop.Elapsed(now), silence == PollRefused)
+			k.runner.PollFailed(k.loop.Elapsed(now), silence == PollRefused)
 		})
 		if silence == PollAnswered {
 			lost = 0
@@ -233,7 +233,7 @@
 }
 
 // Announce takes an announcement of the upstream and reports whether it was taken.
-func (k *Keeper) Announce(u runner.Upstream) (taken bool) {
+func (k *Keeper) Announce(u runner.Announcement) (taken bool) {
 	k.loop.Call(func(now time.Time) { taken = k.runner.Announce(k.loop.Elapsed(now), u) })
 	return taken
 }
@@ -286,7 +286,7 @@
 	tries := 0
 	for ; tries < startTries && a == runner.AnswerNone; tries++ {
 		ctx, cancel := context.WithTimeout(k.background, callTimeout)
-		a = k.settings.Driver.Start(ctx, c, k.settings.Limits.Lease)
+		a = k.settings.Driver.Start(ctx, c, k.settings.Limits.LeaseDuration)
 		cancel()
 	}
 	k.loop.Post(func(now time.Time) { k.runner.Started(k.loop.Elapsed(now), c, a, tries > 1) })
@@ -317,7 +317,7 @@
 // up takes a connection on the control thread.
 func (k *Keeper) up(now time.Time, c *connector.Conn) bool {
 	h := c.Hello()
-	if h.Role != messenger.RoleEntry || k.runner.Orphaned() {
+	if h.Role != messenger.RoleEntry || k.runner.HasOrphans() {
 		return false
 	}
 	if old := k.conns[h.Peer]; old != nil {
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -20,7 +20,7 @@
 			defer j.Close()
 			k, err := New(Settings{
 				Instance: "agent-1", Journal: j,
-				Driver: Driver{Poll: func(context.Context, runner.Question, time.Duration, time.Duration) (runner.Listing, PollStatus) {
+				Driver: Driver{Poll: func(context.Context, runner.PollRequest, time.Duration, time.Duration) (runner.Listing, PollStatus) {
 					asked.Add(1)
 					return runner.Listing{}, silence
 				}},
--- a/internal/replayer/agent.go
+++ b/internal/replayer/agent.go
@@ -61,8 +61,8 @@
 		a.sequence++
 		seq := a.sequence
 		a.run(func() {
-			a.runner.Announce(a.world.now, runner.Upstream{
-				Life: u.life, Service: service, Capacity: u.capacity, Labels: []string{u.rack},
+			a.runner.Announce(a.world.now, runner.Announcement{
+				Incarnation: u.life, Service: service, Capacity: u.capacity, Labels: []string{u.rack},
 				Leaving: u.leaving, Sequence: seq,
 			})
 		})
@@ -72,7 +72,7 @@
 
 // dial connects to the entries, once nothing is left of earlier connections.
 func (a *agent) dial() {
-	if a.runner.Orphaned() {
+	if a.runner.HasOrphans() {
 		return
 	}
 	for _, e := range a.world.entries {
@@ -88,7 +88,7 @@
 func (a *agent) connect(e *entry, peer messenger.Peer, life int) {
 	a.run(func() {
 		delete(a.dialling, peer)
-		if a.life != life || e.peer != peer || e.down || e.frozen || e.cut || a.runner.Orphaned() {
+		if a.life != life || e.peer != peer || e.down || e.frozen || e.cut || a.runner.HasOrphans() {
 			return
 		}
 		l := &link{entry: e, agent: a}
@@ -160,7 +160,7 @@
 			}
 		})
 	}
-	deadline := a.world.now + runnerLimits.Lease
+	deadline := a.world.now + runnerLimits.LeaseDuration
 	a.upstream.order(func(lost bool) {
 		r := a.upstream.start(c, a.life, deadline)
 		if !lost {
@@ -213,7 +213,7 @@
 	}
 	w := a.world
 	asked := w.now
-	q := a.runner.Ask(asked)
+	q := a.runner.NextPoll(asked)
 	answered := false
 	take := func(l *runner.Listing) {
 		if answered || a.life != life {
@@ -222,10 +222,10 @@
 		answered = true
 		a.run(func() {
 			if l == nil {
-				a.runner.Unanswered(w.now, a.upstream.down)
+				a.runner.PollFailed(w.now, a.upstream.down)
 				return
 			}
-			l.AskedAt = asked
+			l.RequestedAt = asked
 			a.runner.Listed(w.now, *l)
 		})
 		a.ask(life)
--- a/internal/replayer/replayer.go
+++ b/internal/replayer/replayer.go
@@ -39,10 +39,10 @@
 // limits are those of processes on the users' platform.
 var (
 	runnerLimits = runner.Limits{
-		Silence: 650 * time.Millisecond, Lease: 800 * time.Millisecond, StopRetry: 60 * time.Millisecond,
-		StopsPending: 240 * time.Millisecond, StallAfter: 200 * time.Millisecond,
-		ReportEvery: 8 * time.Millisecond, BeatEvery: 180 * time.Millisecond,
-		RestBeat: 1200 * time.Millisecond, RestAfter: 2 * time.Second,
+		LivenessTimeout: 650 * time.Millisecond, LeaseDuration: 800 * time.Millisecond, StopRetryInterval: 60 * time.Millisecond,
+		MaxStopPending: 240 * time.Millisecond, StallTimeout: 200 * time.Millisecond,
+		LoadReportInterval: 8 * time.Millisecond, HeartbeatInterval: 180 * time.Millisecond,
+		IdleHeartbeatInterval: 1200 * time.Millisecond, IdleThreshold: 2 * time.Second,
 	}
 	assignerLimits = assigner.Limits{
 		LeaseExpiry: 1816 * time.Millisecond, SuspicionTimeout: 420 * time.Millisecond, LivenessTimeout: 650 * time.Millisecond,
--- a/internal/replayer/upstream.go
+++ b/internal/replayer/upstream.go
@@ -17,7 +17,7 @@
 type upstream struct {
 	world    *world
 	index    int
-	life     runner.Life
+	life     runner.Incarnation
 	capacity messenger.Resources
 	rack     string
 	speed    float64 // speed is the run time of a task by that on other upstreams.
@@ -58,7 +58,7 @@
 }
 
 func (u *upstream) begin() {
-	u.life = runner.Life{ID: fmt.Sprintf("upstream-%d-%d", u.index, u.life.Born+1), Born: u.life.Born + 1}
+	u.life = runner.Incarnation{ID: fmt.Sprintf("upstream-%d-%d", u.index, u.life.Number+1), Number: u.life.Number + 1}
 	u.runs = make(map[messenger.TaskRef]*run)
 	u.highest = make(map[messenger.TaskRef]uint64)
 	u.ended, u.polls = nil, nil
@@ -103,8 +103,8 @@
 	switch {
 	case u.fenced(agent):
 		return runner.AnswerRefused
-	case c.Life.ID != u.life.ID:
-		return runner.AnswerOtherLife
+	case c.Incarnation.ID != u.life.ID:
+		return runner.AnswerOtherIncarnation
 	case u.runs[c.Task] != nil && u.runs[c.Task].run == c.Run:
 		return runner.AnswerStarted
 	case c.Run <= u.highest[c.Task]:
@@ -129,7 +129,7 @@
 }
 
 func (u *upstream) stop(c runner.StopCall, agent int) bool {
-	if u.fenced(agent) || c.Life.ID != "" && c.Life.ID != u.life.ID {
+	if u.fenced(agent) || c.Incarnation.ID != "" && c.Incarnation.ID != u.life.ID {
 		return true
 	}
 	u.highest[c.Task] = max(u.highest[c.Task], c.Run)
@@ -165,14 +165,14 @@
 	return runs
 }
 
-func (u *upstream) hold(q runner.Question, agent int, answer func(runner.Listing)) {
+func (u *upstream) hold(q runner.PollRequest, agent int, answer func(runner.Listing)) {
 	if u.fenced(agent) {
 		return
 	}
-	if q.Renew > 0 {
-		u.extend(q.Renew)
+	if q.LeaseUntil > 0 {
+		u.extend(q.LeaseUntil)
 	}
-	u.ended = slices.DeleteFunc(u.ended, func(e runner.RunEnd) bool { return e.Number <= q.Seen && q.Life.Born == u.life.Born })
+	u.ended = slices.DeleteFunc(u.ended, func(e runner.RunEnd) bool { return e.Number <= q.LastEnd && q.Incarnation.Number == u.life.Number })
 	answered := false
 	life := u.life
 	reply := func() {
@@ -190,7 +190,7 @@
 }
 
 func (u *upstream) listing() runner.Listing {
-	l := runner.Listing{Life: runner.Life{Born: u.life.Born}, Ended: slices.Clone(u.ended)}
+	l := runner.Listing{Incarnation: runner.Incarnation{Number: u.life.Number}, Ended: slices.Clone(u.ended)}
 	for _, r := range u.sorted() {
 		percent := 0
 		if !r.hangs && r.takes > 0 {
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -25,60 +25,60 @@
 type Limits struct {
 	// Silence is how long an entry may not have heard of the runner before its tasks
 	// are stopped.
-	Silence time.Duration
+	LivenessTimeout time.Duration
 	// Lease is how long the upstream runs tasks without being asked to go on.
-	Lease time.Duration
+	LeaseDuration time.Duration
 	// StopRetry is how long a stop may be without an answer before it is sent again.
-	StopRetry time.Duration
+	StopRetryInterval time.Duration
 	// StopsPending is how long a stop may be without an answer before the lease is no
 	// longer renewed, so that the task ends in any case.
-	StopsPending time.Duration
+	MaxStopPending time.Duration
 	// StallAfter is how long a task may make no progress.
-	StallAfter time.Duration
+	StallTimeout time.Duration
 	// ReportEvery is the least time between two reports of the load to an entry that
 	// gets nothing else, for each entry that is connected.
-	ReportEvery time.Duration
+	LoadReportInterval time.Duration
 	// BeatEvery is the longest time between two frames to an entry.
-	BeatEvery time.Duration
+	HeartbeatInterval time.Duration
 	// RestBeat is that time for an entry that has had no task here for RestAfter. It may
 	// be silent for as much longer.
-	RestBeat  time.Duration
-	RestAfter time.Duration
+	IdleHeartbeatInterval time.Duration
+	IdleThreshold         time.Duration
 }
 
 // clockSkew is by how much the upstream's clock may be slow, as a divisor: 2%.
 const clockSkew = 50
 
 // Life names one run of the upstream: what it ran before is gone.
-type Life struct {
-	ID   string
-	Born int64 // Born grows with each run of the same upstream.
+type Incarnation struct {
+	ID     string
+	Number int64 // Born grows with each run of the same upstream.
 }
 
 // String names the life in messages to entries.
-func (l Life) String() string { return l.ID + "#" + strconv.FormatInt(l.Born, 36) }
+func (l Incarnation) String() string { return l.ID + "#" + strconv.FormatInt(l.Number, 36) }
 
 // same reports whether two lives are one. A list of runs does not name the
 // upstream, so that an empty ID stands for any.
-func (l Life) same(o Life) bool {
-	return l.Born == o.Born && (l.ID == o.ID || l.ID == "" || o.ID == "")
+func (l Incarnation) same(o Incarnation) bool {
+	return l.Number == o.Number && (l.ID == o.ID || l.ID == "" || o.ID == "")
 }
 
 // Upstream is an announcement.
-type Upstream struct {
-	Life     Life
-	Service  string
-	Capacity messenger.Resources
-	Labels   []string
-	Leaving  bool
-	Sequence int64 // Sequence grows with each announcement of a life.
+type Announcement struct {
+	Incarnation Incarnation
+	Service     string
+	Capacity    messenger.Resources
+	Labels      []string
+	Leaving     bool
+	Sequence    int64 // Sequence grows with each announcement of a life.
 }
 
 // Runner is the state of one agent.
 type Runner struct {
 	limits   Limits
-	life     Life
-	upstream *Upstream // upstream is the latest announcement of the life, or nil.
+	life     Incarnation
+	upstream *Announcement // upstream is the latest announcement of the life, or nil.
 	// answered means that the upstream has listed its runs in this life.
 	answered bool
 	// silent means that the upstream does not answer.
@@ -131,17 +131,17 @@
 
 // StartCall is a start that must be sent to the upstream.
 type StartCall struct {
-	Life    Life
-	Task    messenger.TaskRef
-	Run     uint64
-	Payload string
+	Incarnation Incarnation
+	Task        messenger.TaskRef
+	Run         uint64
+	Payload     string
 }
 
 // StopCall is a stop that must be sent to the upstream.
 type StopCall struct {
-	Life Life
-	Task messenger.TaskRef
-	Run  uint64
+	Incarnation Incarnation
+	Task        messenger.TaskRef
+	Run         uint64
 }
 
 // Send is a frame for an entry.
@@ -184,18 +184,18 @@
 
 // Announce takes an announcement. It reports whether it was taken: one of a life or
 // with a sequence that is older than what is known is not.
-func (r *Runner) Announce(now time.Duration, u Upstream) bool {
-	known := r.upstream != nil && r.upstream.Life == u.Life
+func (r *Runner) Announce(now time.Duration, u Announcement) bool {
+	known := r.upstream != nil && r.upstream.Incarnation == u.Incarnation
 	switch {
 	case known && u.Sequence < r.upstream.Sequence:
 		return false
-	case !known && u.Life.Born < r.life.Born:
+	case !known && u.Incarnation.Number < r.life.Number:
 		return false
 	}
-	if !u.Life.same(r.life) {
-		r.begin(now, u.Life)
+	if !u.Incarnation.same(r.life) {
+		r.begin(now, u.Incarnation)
 	}
-	r.life.ID = u.Life.ID
+	r.life.ID = u.Incarnation.ID
 	u.Leaving = u.Leaving || known && r.upstream.Leaving
 	changed := !known || u.Leaving != r.upstream.Leaving || u.Capacity != r.upstream.Capacity || u.Service != r.upstream.Service
 	r.upstream = &u
@@ -211,7 +211,7 @@
 
 // Leave takes the end of an upstream.
 func (r *Runner) Leave(now time.Duration, id string) {
-	if r.upstream == nil || r.upstream.Life.ID != id {
+	if r.upstream == nil || r.upstream.Incarnation.ID != id {
 		return
 	}
 	r.decide(Decision{Event: "upstream-left"})
@@ -221,8 +221,8 @@
 }
 
 // begin notes another life of the upstream. Nothing of an earlier one runs.
-func (r *Runner) begin(now time.Duration, l Life) {
-	if r.life != (Life{}) {
+func (r *Runner) begin(now time.Duration, l Incarnation) {
+	if r.life != (Incarnation{}) {
 		r.decide(Decision{Event: "upstream-restarted"})
 		if !r.silent {
 			r.fell(now)
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -11,9 +11,9 @@
 )
 
 var testLimits = Limits{
-	Silence: 600 * time.Millisecond, Lease: 800 * time.Millisecond, StopRetry: 60 * time.Millisecond,
-	StopsPending: 240 * time.Millisecond, StallAfter: 200 * time.Millisecond,
-	ReportEvery: 10 * time.Millisecond, BeatEvery: time.Hour,
+	LivenessTimeout: 600 * time.Millisecond, LeaseDuration: 800 * time.Millisecond, StopRetryInterval: 60 * time.Millisecond,
+	MaxStopPending: 240 * time.Millisecond, StallTimeout: 200 * time.Millisecond,
+	LoadReportInterval: 10 * time.Millisecond, HeartbeatInterval: time.Hour,
 }
 
 // TestScripts runs the scripts of the data files. Each line is an event; the output
@@ -59,8 +59,8 @@
 	case "at":
 		s.now = scripter.Duration(s.t, a[0])
 	case "announce":
-		u := Upstream{
-			Life: Life{ID: a[0], Born: scripter.Number(s.t, a[1])}, Service: "quote", Sequence: scripter.Number(s.t, a[2]),
+		u := Announcement{
+			Incarnation: Incarnation{ID: a[0], Number: scripter.Number(s.t, a[1])}, Service: "quote", Sequence: scripter.Number(s.t, a[2]),
 			Capacity: messenger.Resources{MilliCPU: scripter.Number(s.t, a[3]), MemoryBytes: 1 << 30}, Leaving: len(a) > 4,
 		}
 		if !s.runner.Announce(s.now, u) {
@@ -81,13 +81,13 @@
 	case "list":
 		s.list(a)
 	case "silent", "refused":
-		s.runner.Unanswered(s.now, l.Verb == "refused")
+		s.runner.PollFailed(s.now, l.Verb == "refused")
 	case "ask":
-		q := s.runner.Ask(s.now)
-		fmt.Fprintf(&s.out, "question: seen %d, renew %v\n", q.Seen, q.Renew)
+		q := s.runner.NextPoll(s.now)
+		fmt.Fprintf(&s.out, "question: seen %d, renew %v\n", q.LastEnd, q.LeaseUntil)
 	case "rests":
 		l := testLimits
-		l.RestBeat, l.RestAfter = 1200*time.Millisecond, 2*time.Second
+		l.IdleHeartbeatInterval, l.IdleThreshold = 1200*time.Millisecond, 2*time.Second
 		s.runner = New(l)
 	case "pace":
 		fmt.Fprintf(&s.out, "pace %d\n", s.runner.health.pace(s.now))
@@ -123,7 +123,7 @@
 }
 
 func (s *script) list(a []string) {
-	l := Listing{Life: Life{Born: scripter.Number(s.t, a[0])}, AskedAt: s.now - time.Millisecond}
+	l := Listing{Incarnation: Incarnation{Number: scripter.Number(s.t, a[0])}, RequestedAt: s.now - time.Millisecond}
 	for i := 1; i+1 < len(a); i += 2 {
 		p := strings.Split(a[i+1], ":")
 		if a[i] == "running" {
--- a/internal/runner/session.go
+++ b/internal/runner/session.go
@@ -29,7 +29,7 @@
 
 // EntryUp begins the session of an entry.
 func (r *Runner) EntryUp(now time.Duration, peer messenger.Peer) {
-	r.sessions[peer] = &session{peer: peer, heard: now, emptyAt: now - r.limits.RestAfter, dirty: true}
+	r.sessions[peer] = &session{peer: peer, heard: now, emptyAt: now - r.limits.IdleThreshold, dirty: true}
 }
 
 // EntryDown ends the session of an entry and stops its tasks.
@@ -40,7 +40,7 @@
 }
 
 // Orphaned reports whether tasks of any ended session are left.
-func (r *Runner) Orphaned() bool {
+func (r *Runner) HasOrphans() bool {
 	for _, t := range r.tasks {
 		if t.session.closed {
 			return true
@@ -75,7 +75,7 @@
 		s.entry = max(s.entry, f.Stamp.Clock)
 		s.heard = max(s.heard, f.Stamp.Echo)
 	}
-	if r.unheard(now, s) > r.limits.Silence {
+	if r.unheard(now, s) > r.limits.LivenessTimeout {
 		// A frame that was held up on its way must not start anything.
 		r.silence(now, s)
 		return
@@ -98,8 +98,8 @@
 // that was held up on its way does not start.
 func (r *Runner) unheard(now time.Duration, s *session) time.Duration {
 	d := now - max(s.heard, s.wokenAt)
-	if s.rested(now, r.limits.RestAfter/2) {
-		d -= r.limits.RestBeat
+	if s.rested(now, r.limits.IdleThreshold/2) {
+		d -= r.limits.IdleHeartbeatInterval
 	}
 	return d
 }
@@ -127,7 +127,7 @@
 	case !l.Resources.Fits(r.upstream.Capacity):
 		refuse("too-large")
 	default:
-		if s.rested(now, r.limits.RestAfter/2) {
+		if s.rested(now, r.limits.IdleThreshold/2) {
 			s.wokenAt = now
 		}
 		r.tasks[l.Task] = t
--- a/internal/runner/take.go
+++ b/internal/runner/take.go
@@ -9,27 +9,27 @@
 )
 
 // Question is what the upstream must be asked next.
-type Question struct {
-	Life Life
-	Seen int64 // Seen is the number of the latest end that was taken note of.
+type PollRequest struct {
+	Incarnation Incarnation
+	LastEnd     int64 // Seen is the number of the latest end that was taken note of.
 	// Renew is the time to which the lease is to be extended; 0 leaves it as it is.
-	Renew time.Duration
+	LeaseUntil time.Duration
 }
 
 // Ask returns what the upstream must be asked now. The lease is not renewed while a
 // stop is without an answer for long: then everything ends with it.
-func (r *Runner) Ask(now time.Duration) Question {
-	q := Question{Life: r.life, Seen: r.seen}
+func (r *Runner) NextPoll(now time.Duration) PollRequest {
+	q := PollRequest{Incarnation: r.life, LastEnd: r.seen}
 	if len(r.strays) > 0 {
 		return q
 	}
 	for _, t := range r.tasks {
-		if t.state == stateStopping && now-t.stopAt > r.limits.StopsPending {
+		if t.state == stateStopping && now-t.stopAt > r.limits.MaxStopPending {
 			return q
 		}
 	}
-	q.Renew = now + r.limits.Lease
-	r.renewed(q.Renew)
+	q.LeaseUntil = now + r.limits.LeaseDuration
+	r.renewed(q.LeaseUntil)
 	return q
 }
 
@@ -41,7 +41,7 @@
 
 // Unanswered takes the failure of a question. If the upstream is closed, nothing
 // listens at its address.
-func (r *Runner) Unanswered(now time.Duration, closed bool) {
+func (r *Runner) PollFailed(now time.Duration, closed bool) {
 	if closed {
 		if len(r.tasks) > 0 {
 			r.decide(Decision{Event: "upstream-closed"})
@@ -82,7 +82,7 @@
 
 func (r *Runner) dropSilent(now time.Duration) {
 	for _, peer := range sortedPeers(r.sessions) {
-		if s := r.sessions[peer]; r.unheard(now, s) > r.limits.Silence {
+		if s := r.sessions[peer]; r.unheard(now, s) > r.limits.LivenessTimeout {
 			r.silence(now, s)
 		}
 	}
@@ -90,7 +90,7 @@
 
 // checkLease ends what must have ended because the lease was not renewed.
 func (r *Runner) checkLease(now time.Duration) {
-	if r.leaseEnds == 0 || now < r.leaseEnds+r.limits.Lease/clockSkew+leaseMargin {
+	if r.leaseEnds == 0 || now < r.leaseEnds+r.limits.LeaseDuration/clockSkew+leaseMargin {
 		return
 	}
 	r.leaseEnds = 0
@@ -122,7 +122,7 @@
 		}
 	}
 	for _, ref := range slices.SortedFunc(maps.Keys(r.strays), messenger.TaskRef.Compare) {
-		r.out.Stops = append(r.out.Stops, StopCall{Life: r.life, Task: ref, Run: r.strays[ref]})
+		r.out.Stops = append(r.out.Stops, StopCall{Incarnation: r.life, Task: ref, Run: r.strays[ref]})
 	}
 }
 
@@ -159,20 +159,20 @@
 	t.state = stateStarting
 	t.since = now
 	r.used = r.used.Add(t.Resources)
-	r.renewed(now + r.limits.Lease)
-	r.out.Starts = append(r.out.Starts, StartCall{Life: r.life, Task: t.Task, Run: t.Run, Payload: t.Payload})
+	r.renewed(now + r.limits.LeaseDuration)
+	r.out.Starts = append(r.out.Starts, StartCall{Incarnation: r.life, Task: t.Task, Run: t.Run, Payload: t.Payload})
 }
 
 // report makes the frames for the entries that must hear something.
 func (r *Runner) report(now time.Duration) {
-	reportEvery := r.limits.ReportEvery * time.Duration(max(1, len(r.sessions)))
+	reportEvery := r.limits.LoadReportInterval * time.Duration(max(1, len(r.sessions)))
 	for _, peer := range sortedPeers(r.sessions) {
 		s := r.sessions[peer]
 		since := now - s.sentAt
 		due := since >= reportEvery && (s.dirty || s.moved && r.strayed(s))
-		beatEvery := r.limits.BeatEvery
-		if s.rested(now, r.limits.RestAfter) {
-			beatEvery = max(beatEvery, r.limits.RestBeat)
+		beatEvery := r.limits.HeartbeatInterval
+		if s.rested(now, r.limits.IdleThreshold) {
+			beatEvery = max(beatEvery, r.limits.IdleHeartbeatInterval)
 		}
 		if len(s.ends) == 0 && since < beatEvery && !due {
 			continue
--- a/internal/runner/task.go
+++ b/internal/runner/task.go
@@ -12,18 +12,18 @@
 
 // The answers to starts.
 const (
-	AnswerStarted   Answer = "started"
-	AnswerRefused   Answer = "refused"    // The upstream did not start the task.
-	AnswerStaleRun  Answer = "stale-run"  // The upstream has seen a higher run of the task.
-	AnswerOtherLife Answer = "other-life" // The upstream is another one than was meant.
-	AnswerUnhealthy Answer = "unhealthy"  // The upstream refuses work and has done nothing.
-	AnswerNone      Answer = "none"       // Whether the start took effect is open.
+	AnswerStarted          Answer = "started"
+	AnswerRefused          Answer = "refused"    // The upstream did not start the task.
+	AnswerStaleRun         Answer = "stale-run"  // The upstream has seen a higher run of the task.
+	AnswerOtherIncarnation Answer = "other-life" // The upstream is another one than was meant.
+	AnswerUnhealthy        Answer = "unhealthy"  // The upstream refuses work and has done nothing.
+	AnswerNone             Answer = "none"       // Whether the start took effect is open.
 )
 
 // Started takes the answer to a start. If the start was sent before without an answer,
 // a refusal says nothing about that one: it may have run, or may still be carried out.
 func (r *Runner) Started(now time.Duration, c StartCall, a Answer, again bool) {
-	if again && a != AnswerStarted && a != AnswerOtherLife {
+	if again && a != AnswerStarted && a != AnswerOtherIncarnation {
 		a = AnswerNone
 	}
 	t := r.tasks[c.Task]
@@ -41,7 +41,7 @@
 		}
 	case AnswerStaleRun:
 		r.end(now, t, messenger.EndStaleRun)
-	case AnswerRefused, AnswerOtherLife, AnswerUnhealthy:
+	case AnswerRefused, AnswerOtherIncarnation, AnswerUnhealthy:
 		r.decide(Decision{Event: "start-refused", Task: t.Task, Run: t.Run, Reason: string(a)})
 		if a == AnswerUnhealthy {
 			r.health.stalled(now)
@@ -84,13 +84,13 @@
 
 // Listing is the upstream's answer to the question what it runs.
 type Listing struct {
-	Life    Life
-	Running []Run
-	Ended   []RunEnd
+	Incarnation Incarnation
+	Running     []Run
+	Ended       []RunEnd
 	// AskedAt is when the question was sent.
-	AskedAt time.Duration
+	RequestedAt time.Duration
 	// Renewed is the time to which the lease was asked to be extended, or 0.
-	Renewed time.Duration
+	LeaseUntil time.Duration
 }
 
 // freshFor is the time since the list before within which ends tell how long the
@@ -99,11 +99,11 @@
 
 // Listed takes a list of the upstream.
 func (r *Runner) Listed(now time.Duration, l Listing) {
-	if !l.Life.same(r.life) {
-		if l.Life.Born < r.life.Born {
+	if !l.Incarnation.same(r.life) {
+		if l.Incarnation.Number < r.life.Number {
 			return
 		}
-		r.begin(now, l.Life)
+		r.begin(now, l.Incarnation)
 	}
 	r.misses = 0
 	if r.silent || !r.answered {
@@ -139,7 +139,7 @@
 	r.forgetStrays(listed)
 	for _, t := range r.sorted() {
 		// What was stopped and is not in a list that was asked for afterwards is gone.
-		if t.state == stateStopped && listed[t.Task] != t.Run && t.stopAt < l.AskedAt {
+		if t.state == stateStopped && listed[t.Task] != t.Run && t.stopAt < l.RequestedAt {
 			r.end(now, t, t.kind)
 		}
 	}
@@ -219,7 +219,7 @@
 		t.percent, t.progress = run.Percent, now
 		return
 	}
-	allowed := max(r.limits.StallAfter, t.ExpectedRunTime/stallShare)
+	allowed := max(r.limits.StallTimeout, t.ExpectedRunTime/stallShare)
 	if t.state != stateRunning || now-t.progress < allowed {
 		return
 	}
@@ -250,8 +250,8 @@
 }
 
 func (r *Runner) sendStop(now time.Duration, t *task) {
-	t.retryAt = now + r.limits.StopRetry
-	r.out.Stops = append(r.out.Stops, StopCall{Life: r.life, Task: t.Task, Run: t.Run})
+	t.retryAt = now + r.limits.StopRetryInterval
+	r.out.Stops = append(r.out.Stops, StopCall{Incarnation: r.life, Task: t.Task, Run: t.Run})
 }
 
 // end forgets a task and tells its entry.
--- a/internal/versioner/change.go
+++ b/internal/versioner/change.go
@@ -23,9 +23,9 @@
 	// Expect is accepted at most once.
 	ID string
 	// Expect is the version that the operator has seen; 0 if there is none yet.
-	Expect   uint64
-	Operator string
-	Comment  string
+	ExpectVersion uint64
+	Operator      string
+	Comment       string
 	// RollbackTo is the version whose content this one has again, or 0.
 	RollbackTo uint64
 	// Content has the texts of the new version; its head is ignored.
@@ -112,7 +112,7 @@
 	if err != nil {
 		return Result{}, false, err
 	}
-	if head.Number != a.change.Expect {
+	if head.Number != a.change.ExpectVersion {
 		return r.resolve(ctx, a, head)
 	}
 	if err := r.prepare(ctx, a, revision); err != nil {
@@ -131,10 +131,10 @@
 
 // resolve decides a change that expects another version than the current one.
 func (r *Versioner) resolve(ctx context.Context, a *attempt, current configurer.Head) (Result, bool, error) {
-	if current.Number < a.change.Expect {
+	if current.Number < a.change.ExpectVersion {
 		return a.conflict(current), true, nil
 	}
-	successor, err := r.Version(ctx, a.change.Expect+1)
+	successor, err := r.Version(ctx, a.change.ExpectVersion+1)
 	if err != nil {
 		return Result{}, false, err
 	}
@@ -159,7 +159,7 @@
 	}
 	v := a.change.Content
 	v.Head = configurer.Head{
-		Number:     a.change.Expect + 1,
+		Number:     a.change.ExpectVersion + 1,
 		ChangeID:   a.change.ID,
 		Operator:   a.change.Operator,
 		At:         r.Now().UTC().Truncate(time.Second),
@@ -171,7 +171,7 @@
 		return err
 	}
 	a.transaction = &storer.Transaction{
-		RequestID: fmt.Sprintf("config/%s/%d/%s", a.change.ID, a.change.Expect, digest(&v)),
+		RequestID: fmt.Sprintf("config/%s/%d/%s", a.change.ID, a.change.ExpectVersion, digest(&v)),
 		Conditions: []storer.Condition{{
 			Key:      configurer.CurrentKey,
 			Revision: revision,
@@ -216,12 +216,12 @@
 }
 
 func (a *attempt) result(v Verdict) Result {
-	return Result{Verdict: v, ChangeID: a.change.ID, Expected: a.change.Expect}
+	return Result{Verdict: v, ChangeID: a.change.ID, Expected: a.change.ExpectVersion}
 }
 
 func (a *attempt) accepted() Result {
 	out := a.result(VerdictAccepted)
-	out.Version = a.change.Expect + 1
+	out.Version = a.change.ExpectVersion + 1
 	return out
 }
 
@@ -229,7 +229,7 @@
 	out := a.result(VerdictRefused)
 	out.Reason = ReasonConflict
 	out.Current = current.Number
-	out.Detail = fmt.Sprintf("version %d is current, not %d", current.Number, a.change.Expect)
+	out.Detail = fmt.Sprintf("version %d is current, not %d", current.Number, a.change.ExpectVersion)
 	return out
 }
 
--- a/internal/versioner/versioner_test.go
+++ b/internal/versioner/versioner_test.go
@@ -129,7 +129,7 @@
 		if KindOf(err) == KindUnavailable {
 			continue
 		}
-		c := Change{ID: fmt.Sprintf("change-%d-%d", operator, n), Expect: head.Number, Content: content(fmt.Sprint(operator, n))}
+		c := Change{ID: fmt.Sprintf("change-%d-%d", operator, n), ExpectVersion: head.Number, Content: content(fmt.Sprint(operator, n))}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		result, err := r.Apply(ctx, c)
 		cancel()
@@ -290,7 +290,7 @@
 func grow(t *testing.T, r *Versioner, from, to uint64) {
 	t.Helper()
 	for n := from; n < to; n++ {
-		result, err := r.Apply(t.Context(), Change{ID: fmt.Sprint("c", n), Expect: n, Content: content(fmt.Sprint(n))})
+		result, err := r.Apply(t.Context(), Change{ID: fmt.Sprint("c", n), ExpectVersion: n, Content: content(fmt.Sprint(n))})
 		if err != nil || result.Verdict != VerdictAccepted {
 			t.Fatalf("change %d: %v %v", n, result, err)
 		}
