--- a/internal/owner/agents.go
+++ b/internal/owner/agents.go
@@ -10,13 +10,13 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// agentJobs has the open jobs that have tasks at an agent.
+// agentJobs holds the jobs without an answer that have tasks at one agent.
 type agentJobs struct {
 	jobs map[identifier.Submission]*job
 }
 
-// lostAgent is an agent whose connection has ended.
-type lostAgent struct {
+// disconnectedAgent is an agent whose connection has ended.
+type disconnectedAgent struct {
 	agent messenger.Peer
 	since time.Time
 }
@@ -24,31 +24,31 @@
 // AgentUp records that an agent is connected.
 func (o *Owner) AgentUp(agent messenger.Peer) {
 	o.connected[agent] = true
-	o.unlose(agent)
+	o.removeDisconnected(agent)
 }
 
-func (o *Owner) unlose(agent messenger.Peer) {
-	o.lost = slices.DeleteFunc(o.lost, func(l lostAgent) bool { return l.agent == agent })
+func (o *Owner) removeDisconnected(agent messenger.Peer) {
+	o.disconnected = slices.DeleteFunc(o.disconnected, func(l disconnectedAgent) bool { return l.agent == agent })
 }
 
-// AgentDown records that the connection to an agent ended. What was sent over it
-// may be lost.
+// AgentDown records that the connection to an agent ended. Messages that were sent
+// over it may be lost, so the start of every task at the agent becomes unknown.
 func (o *Owner) AgentDown(now time.Time, agent messenger.Peer) {
 	delete(o.connected, agent)
-	o.unlose(agent)
-	o.lose(now, agent)
+	o.removeDisconnected(agent)
+	o.markDisconnected(now, agent)
 	for _, j := range o.jobsAt(agent) {
 		for i := range j.tasks {
 			if j.tasks[i].state == taskSent && j.tasks[i].agent == agent {
-				j.tasks[i].unsure = true
+				j.tasks[i].startUnknown = true
 			}
 		}
 	}
 }
 
-// Reconciled records that the agent has given all its unsettled records of a
-// partition since its connection began. A task that was sent before that and is in
-// no record did not start and never will, and is placed again.
+// Reconciled records that the agent has sent all its unsettled records of a
+// partition over its current connection. A task that was sent before this
+// connection and is in no record did not start and never will, so it is rescheduled.
 func (o *Owner) Reconciled(_ time.Time, agent messenger.Peer, p identifier.Partition) {
 	for _, j := range o.jobsAt(agent) {
 		if j.spec.Submission.Partition() != p {
@@ -56,18 +56,19 @@
 		}
 		for i := range j.tasks {
 			t := &j.tasks[i]
-			if t.state == taskSent && t.agent == agent && t.unsure {
+			if t.state == taskSent && t.agent == agent && t.startUnknown {
 				o.requeue(j, t, uint16(i))
 			}
 		}
 	}
 }
 
-// expireLost fails the jobs with tasks at agents that stay unreachable.
-func (o *Owner) expireLost(now time.Time) {
-	for len(o.lost) > 0 && now.Sub(o.lost[0].since) >= o.limits.AgentLossTimeout {
-		agent := o.lost[0].agent
-		o.lost = o.lost[1:]
+// expireDisconnected fails the jobs with tasks at agents that have been
+// disconnected for AgentLossTimeout.
+func (o *Owner) expireDisconnected(now time.Time) {
+	for len(o.disconnected) > 0 && now.Sub(o.disconnected[0].since) >= o.limits.AgentLossTimeout {
+		agent := o.disconnected[0].agent
+		o.disconnected = o.disconnected[1:]
 		for _, j := range o.jobsAt(agent) {
 			if j.phase == phaseOpen {
 				o.stop(now, j, submitter.ReasonUpstreamLost, "the agent "+string(agent)+" cannot be reached")
@@ -98,17 +99,17 @@
 	return out
 }
 
-// lose begins the wait for an agent that is not connected.
-func (o *Owner) lose(now time.Time, agent messenger.Peer) {
-	if !slices.ContainsFunc(o.lost, func(l lostAgent) bool { return l.agent == agent }) {
-		o.lost = append(o.lost, lostAgent{agent: agent, since: now})
+// markDisconnected starts the loss timeout of an agent that is not connected.
+func (o *Owner) markDisconnected(now time.Time, agent messenger.Peer) {
+	if !slices.ContainsFunc(o.disconnected, func(l disconnectedAgent) bool { return l.agent == agent }) {
+		o.disconnected = append(o.disconnected, disconnectedAgent{agent: agent, since: now})
 	}
 }
 
-// linkAgent notes that a task of the job is at the agent.
+// linkAgent records that a task of the job is at the agent.
 func (o *Owner) linkAgent(now time.Time, j *job, agent messenger.Peer) {
 	if !o.connected[agent] {
-		o.lose(now, agent)
+		o.markDisconnected(now, agent)
 	}
 	a := o.agents[agent]
 	if a == nil {
@@ -118,8 +119,8 @@
 	a.jobs[j.spec.Submission] = j
 }
 
-// unlinkAgents removes a job from the agents that its tasks are at. An agent that
-// refused all its tasks may keep a reference until another job there ends.
+// unlinkAgents removes a job from the agents that its tasks are at. It does not
+// reach an agent that refused every task of the job, which keeps its reference.
 func (o *Owner) unlinkAgents(j *job) {
 	for _, agent := range j.agentsInState(taskSent, taskDone, taskFailed) {
 		if a := o.agents[agent]; a != nil {
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -51,21 +51,20 @@
 	return id
 }
 
-// BenchmarkDedup measures the request for a submission that is known among
-// 100,000, with its answer.
+// BenchmarkDedup measures a duplicate request for one of 100,000 answered jobs.
 func BenchmarkDedup(b *testing.B) {
 	o := loadedOwner(100_000)
 	j := benchJob(50_000)
 	b.ReportAllocs()
 	for b.Loop() {
 		if tasks := o.Submit(benchNow, Waiter{Ticket: 1}, j); len(tasks) > 0 {
-			b.Fatal("a duplicate was taken for new")
+			b.Fatal("a duplicate request started a new job")
 		}
 		o.out.Answers = o.out.Answers[:0]
 	}
 }
 
-// BenchmarkJob measures the whole life of a job of 3 tasks at one agent.
+// BenchmarkJob measures a job of 3 tasks at one agent from submission to answer.
 func BenchmarkJob(b *testing.B) {
 	o := loadedOwner(0)
 	result := messenger.Result{Tasks: []messenger.TaskResult{
@@ -86,7 +85,7 @@
 	}
 }
 
-// BenchmarkTick measures a tick with 100,000 jobs of which none is due.
+// BenchmarkTick measures a tick with 100,000 jobs, none of which expires.
 func BenchmarkTick(b *testing.B) {
 	o := loadedOwner(100_000)
 	b.ReportAllocs()
@@ -95,20 +94,20 @@
 	}
 }
 
-// TestRecordBytes compares the bytes that the owner accounts for with what
-// answered jobs take on the heap.
+// TestRecordBytes compares the memory that the owner accounts for answered jobs with
+// the memory that they take on the heap.
 func TestRecordBytes(t *testing.T) {
 	const jobs = 100_000
 	before := heapBytes()
 	o := loadedOwner(jobs)
 	taken := int(heapBytes()-before) / jobs
 	accounted, _ := o.Bytes()
-	t.Logf("%d bytes a job on the heap, %d accounted for", taken, accounted/jobs)
+	t.Logf("%d bytes per job on the heap, %d accounted for", taken, accounted/jobs)
 	if accounted/jobs < taken {
-		t.Errorf("a job takes %d bytes and is accounted for with %d", taken, accounted/jobs)
+		t.Errorf("a job takes %d bytes but is accounted for as %d bytes", taken, accounted/jobs)
 	}
 	if accounted/jobs > 2*taken {
-		t.Errorf("a job takes only %d bytes and is accounted for with %d", taken, accounted/jobs)
+		t.Errorf("a job takes only %d bytes but is accounted for as %d bytes", taken, accounted/jobs)
 	}
 	runtime.KeepAlive(o)
 }
--- a/internal/owner/due.go
+++ b/internal/owner/expiry.go
@@ -8,18 +8,18 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// due says when a job must be looked at. A job may have several; one that has
-// become meaningless has no effect.
-type due struct {
+// timer is a time at which a job must be checked for expiry. A job may have several
+// timers. They are never removed early; one that no longer applies has no effect.
+type timer struct {
 	at time.Time
 	id identifier.Submission
 }
 
-// dueHeap is a binary heap with the earliest time first.
-type dueHeap []due
+// timerHeap is a binary heap with the earliest time first.
+type timerHeap []timer
 
-func (h *dueHeap) push(d due) {
-	*h = append(*h, d)
+func (h *timerHeap) push(t timer) {
+	*h = append(*h, t)
 	s := *h
 	for i := len(s) - 1; i > 0; {
 		parent := (i - 1) / 2
@@ -31,7 +31,7 @@
 	}
 }
 
-func (h *dueHeap) pop() due {
+func (h *timerHeap) pop() timer {
 	s := *h
 	first := s[0]
 	last := len(s) - 1
@@ -51,12 +51,12 @@
 	}
 }
 
-// expire applies what is due of a job.
+// expire applies the deadlines, the grace time and the retention time of a job.
 func (o *Owner) expire(now time.Time, j *job) {
 	if j.phase != phaseOpen {
 		o.expireWaiters(now, j)
-		if !now.Before(j.keptTill) {
-			o.forget(j)
+		if !now.Before(j.retainUntil) {
+			o.evict(j)
 			return
 		}
 		o.expireAbandoned(now, j)
@@ -70,41 +70,41 @@
 	o.expireAbandoned(now, j)
 }
 
-// expireAbandoned ends a job for which no request has waited for the grace time.
-// A recovered job, of which this entry may not know every request yet, gets the
-// time again.
+// expireAbandoned cancels a job for which no request has waited during the grace
+// time. The grace time of a recovered job starts again while requests for it may
+// still arrive.
 func (o *Owner) expireAbandoned(now time.Time, j *job) {
-	if j.abandoned.IsZero() || now.Sub(j.abandoned) < o.limits.AbandonGrace || !o.runs(j) {
+	if j.abandonedAt.IsZero() || now.Sub(j.abandonedAt) < o.limits.AbandonGrace || !o.mayRun(j) {
 		return
 	}
 	if j.phase == phaseRecovered && o.RequestsExpected(now, j.spec.Submission) {
-		o.abandon(now, j)
+		o.startGrace(now, j)
 		return
 	}
 	o.stop(now, j, submitter.ReasonCancelled, "no request waits for the job")
 }
 
-// abandon begins the grace time of a job for which no request waits.
-func (o *Owner) abandon(now time.Time, j *job) {
-	j.abandoned = now
-	o.due.push(due{at: now.Add(o.limits.AbandonGrace), id: j.spec.Submission})
+// startGrace starts the grace time of a job for which no request waits.
+func (o *Owner) startGrace(now time.Time, j *job) {
+	j.abandonedAt = now
+	o.timers.push(timer{at: now.Add(o.limits.AbandonGrace), id: j.spec.Submission})
 }
 
-// runs reports whether a job has no answer and may run. A recovered job with a
-// task at an agent has had no complete answer under a former owner, so that it may
-// still be said to have failed.
-func (o *Owner) runs(j *job) bool {
-	return j.phase == phaseOpen || j.phase == phaseRecovered && !j.answerLost && j.inState(taskSent) > 0
+// mayRun reports whether a job has no answer and may be running. A former owner
+// cannot have answered complete for a recovered job that still has a task at an
+// agent, so such a job may still be answered with failed.
+func (o *Owner) mayRun(j *job) bool {
+	return j.phase == phaseOpen || j.phase == phaseRecovered && !j.answerLost && j.countInState(taskSent) > 0
 }
 
-// expireAtOnce ends an open job whose request arrived after its deadline.
+// expireAtOnce fails an open job whose request arrived after its deadline.
 func (o *Owner) expireAtOnce(now time.Time, j *job) {
 	if j.phase == phaseOpen && !now.Before(j.spec.Deadline) {
 		o.expire(now, j)
 	}
 }
 
-// expireWaiters answers the requests whose own deadline comes before the job's.
+// expireWaiters answers the waiting requests whose own deadline has passed.
 func (o *Owner) expireWaiters(now time.Time, j *job) {
 	for i := 0; i < len(j.waiters); {
 		w := j.waiters[i]
@@ -112,7 +112,7 @@
 			i++
 			continue
 		}
-		o.unwait(now, j, w.Waiter)
+		o.removeWaiter(now, j, w.Waiter)
 		o.out.Answers = append(o.out.Answers, Answered{
 			Waiter: w.Waiter,
 			Answer: unknown(j.spec.Submission, submitter.ReasonDeadlineExceeded, "the deadline of this request passed while the job went on"),
@@ -120,64 +120,66 @@
 	}
 }
 
-// forget drops a job that is not open.
-func (o *Owner) forget(j *job) {
+// evict removes a job that is not open and answers the requests that wait for it.
+func (o *Owner) evict(j *job) {
 	o.answerWaiters(j, unknown(j.spec.Submission, submitter.ReasonStale, "the record of the submission has expired"))
 	o.remove(j)
 }
 
-// answerWaiters gives an answer to every request that waits for a job.
+// answerWaiters sends an answer to every request that waits for a job.
 func (o *Owner) answerWaiters(j *job, a *messenger.Answer) {
 	for _, w := range j.waiters {
-		delete(o.waiting, w.Waiter)
+		delete(o.jobOfWaiter, w.Waiter)
 		o.out.Answers = append(o.out.Answers, Answered{Waiter: w.Waiter, Answer: a})
 	}
 	j.waiters = nil
 }
 
-// remove drops a job with all that refers to it but for what is due.
+// remove deletes a job and all references to it except its timers, which have no
+// effect without the job.
 func (o *Owner) remove(j *job) {
 	for _, w := range j.waiters {
-		delete(o.waiting, w.Waiter)
+		delete(o.jobOfWaiter, w.Waiter)
 	}
 	o.unlinkAgents(j)
-	if o.keys[j.spec.RequestKey] == j.spec.Submission {
-		delete(o.keys, j.spec.RequestKey)
+	if o.keyHolders[j.spec.RequestKey] == j.spec.Submission {
+		delete(o.keyHolders, j.spec.RequestKey)
 	}
 	if j.phase == phaseOpen {
-		o.open--
+		o.openCount--
 	}
 	o.dropResults(j)
-	o.bytes -= j.bytes
+	o.recordBytes -= j.accountedBytes
 	o.jobs.remove(j)
 }
 
-// keepResults bounds the results that are kept, dropping the oldest.
-func (o *Owner) keepResults(j *job) {
+// retainResults retains the results of an answered job. It drops the oldest retained
+// results until the total is within MaxAnswerBytes.
+func (o *Owner) retainResults(j *job) {
 	size := resultBytes(j.answer)
 	if size == 0 {
 		return
 	}
-	o.results += size
-	o.kept = append(o.kept, j.spec.Submission)
-	for len(o.kept) > 0 {
-		oldest := o.jobs.get(o.kept[0])
-		if oldest != nil && oldest.hasResults() && o.results <= o.limits.MaxAnswerBytes {
+	o.retainedResultBytes += size
+	o.withResults = append(o.withResults, j.spec.Submission)
+	for len(o.withResults) > 0 {
+		oldest := o.jobs.get(o.withResults[0])
+		if oldest != nil && oldest.hasResults() && o.retainedResultBytes <= o.limits.MaxAnswerBytes {
 			return
 		}
 		if oldest != nil {
 			o.dropResults(oldest)
 		}
-		o.kept = o.kept[1:]
+		o.withResults = o.withResults[1:]
 	}
 }
 
-// dropResults frees the results of an answered job; its record stays.
+// dropResults frees the results of an answered job. The record of the job stays.
 func (o *Owner) dropResults(j *job) {
 	if !j.hasResults() {
 		return
 	}
-	o.results -= resultBytes(j.answer)
+	o.retainedResultBytes -= resultBytes(j.answer)
 	j.answer = answerLost(j.spec.Submission)
 	j.answerLost = true
 }
--- a/internal/owner/handover.go
+++ b/internal/owner/handover.go
@@ -8,21 +8,22 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Export returns all that is known of a partition's jobs, in the order of their
-// ids. Requests that wait are not part of it; [Owner.Release] gives them back.
+// Export returns the records of a partition's jobs in the order of their ids. The
+// requests that wait for them are not included; [Owner.Release] returns those.
 func (o *Owner) Export(now time.Time, p identifier.Partition) []messenger.HandoverJob {
 	var out []messenger.HandoverJob
-	for _, j := range o.jobs.in(p) {
-		out = append(out, o.export(now, j))
+	for _, j := range o.jobs.inPartition(p) {
+		out = append(out, o.exportJob(now, j))
 	}
 	return out
 }
 
-// PartitionBytes returns about how many bytes [Owner.Export] returns of a partition.
+// PartitionBytes returns the approximate size of what [Owner.Export] returns for a
+// partition.
 func (o *Owner) PartitionBytes(p identifier.Partition) int {
 	n := 0
 	for _, j := range o.jobs.partitions[p] {
-		n += j.bytes
+		n += j.accountedBytes
 		if j.hasResults() {
 			n += resultBytes(j.answer)
 		}
@@ -30,15 +31,15 @@
 	return n
 }
 
-// Release forgets the jobs of a partition. It returns those without an answer
-// for which requests wait, so that they can be passed to the new owner. Requests
-// that wait for a job without a specification brought no tasks; they are answered,
-// because no other request for the job may ever come.
+// Release removes the jobs of a partition. It returns the open jobs for which
+// requests wait, so that they can be passed to the new owner. A request that waits
+// for a recovered job brought no tasks to pass on and is answered here, because no
+// other request for the job may ever arrive.
 func (o *Owner) Release(_ time.Time, p identifier.Partition) []Released {
 	var out []Released
-	for _, j := range o.jobs.in(p) {
+	for _, j := range o.jobs.inPartition(p) {
 		if j.phase == phaseOpen {
-			out = append(out, released(j)...)
+			out = append(out, splitByWaiter(j)...)
 			o.out.Drops = append(o.out.Drops, j.spec.Submission)
 		} else {
 			o.answerWaiters(j, unknown(j.spec.Submission, submitter.ReasonOwnerChanged,
@@ -49,9 +50,8 @@
 	return out
 }
 
-// released returns one entry a request that waits, because each has its own
-// deadline.
-func released(j *job) []Released {
+// released returns one item per waiting request, because each has its own deadline.
+func splitByWaiter(j *job) []Released {
 	var out []Released
 	for _, w := range j.waiters {
 		spec := j.spec
@@ -61,9 +61,9 @@
 	return out
 }
 
-// Import takes over a job from a former owner. It becomes a recovered job or an
-// answered one; a request that is passed on attaches to it by [Owner.Submit]. What
-// is known already is not replaced.
+// Import adds a job from a former owner. It becomes a recovered job or an answered
+// one; a request that the former owner passes on attaches to it by [Owner.Submit].
+// A job that is known already is not replaced.
 func (o *Owner) Import(now time.Time, h messenger.HandoverJob) {
 	if o.jobs.get(h.Job.Submission) != nil {
 		return
@@ -81,32 +81,32 @@
 		},
 	}
 	o.add(j)
-	j.keptTill = now.Add(o.limits.Window + o.limits.MaxClockSkew - h.Age)
-	o.due.push(due{at: j.keptTill, id: j.spec.Submission})
+	j.retainUntil = now.Add(o.limits.Window + o.limits.MaxClockSkew - h.Age)
+	o.timers.push(timer{at: j.retainUntil, id: j.spec.Submission})
 	if h.Answer != nil {
 		j.phase = phaseAnswered
 		j.answer = h.Answer
-		o.keepResults(j)
+		o.retainResults(j)
 	}
 	if h.Answer == nil || !isNotRun(h.Answer) {
-		o.holdKey(j)
+		o.reserveKey(j)
 	}
 	for i := range h.Tasks {
 		o.importTask(now, j, &h.Tasks[i])
 	}
-	o.weigh(j)
-	o.abandonRecovered(now, j)
+	o.updateMemory(j)
+	o.startRecoveredGrace(now, j)
 }
 
-// importTask takes over a task that was sent to an agent. Whether it started
-// there is open until the agent has answered the new owner's fence.
+// importTask adds a task that the former owner sent to an agent. Whether it started
+// there is unknown until the agent has answered the new owner's fence.
 func (o *Owner) importTask(now time.Time, j *job, h *messenger.HandoverTask) {
-	t := o.recoverTask(j, h.Agent, h.Index)
+	t := o.taskForRecord(j, h.Agent, h.Index)
 	if t == nil {
 		return
 	}
 	t.state = taskSent
-	t.unsure = true
+	t.startUnknown = true
 	t.agent = h.Agent
 	if h.Result != nil {
 		o.taskEnded(now, j, t, h.Result)
@@ -115,7 +115,7 @@
 	o.linkAgent(now, j, h.Agent)
 }
 
-func (o *Owner) export(now time.Time, j *job) messenger.HandoverJob {
+func (o *Owner) exportJob(now time.Time, j *job) messenger.HandoverJob {
 	h := messenger.HandoverJob{
 		Job: messenger.Forward{
 			Submission: j.spec.Submission,
@@ -130,7 +130,7 @@
 		AnswerLost: j.answerLost,
 	}
 	if j.phase != phaseOpen {
-		h.Age = o.limits.Window + o.limits.MaxClockSkew - j.keptTill.Sub(now)
+		h.Age = o.limits.Window + o.limits.MaxClockSkew - j.retainUntil.Sub(now)
 	}
 	for i := range j.tasks {
 		if j.tasks[i].state != taskWaiting {
--- a/internal/owner/jobs.go
+++ b/internal/owner/jobs.go
@@ -7,8 +7,8 @@
 	"sardinelock.dev/sardinelock/internal/identifier"
 )
 
-// jobSet has jobs by their ids, apart for each partition, so that one partition
-// can be listed or passed on without a look at the others.
+// jobSet holds jobs by partition and id, so that one partition can be listed or
+// handed over without iterating over the others.
 type jobSet struct {
 	count      int // count is the number of jobs in all partitions.
 	partitions [identifier.Partitions]map[identifier.Submission]*job
@@ -19,7 +19,7 @@
 	return s.partitions[id.Partition()][id]
 }
 
-// put adds a job whose submission the set does not have.
+// put adds a job whose submission is not in the set.
 func (s *jobSet) put(j *job) {
 	id := j.spec.Submission
 	p := id.Partition()
@@ -30,7 +30,7 @@
 	s.count++
 }
 
-// remove drops a job of the set.
+// remove deletes a job from the set.
 func (s *jobSet) remove(j *job) {
 	id := j.spec.Submission
 	p := id.Partition()
@@ -57,8 +57,8 @@
 	}
 }
 
-// in returns the jobs of a partition in the order of their ids.
-func (s *jobSet) in(p identifier.Partition) []*job {
+// inPartition returns the jobs of a partition in the order of their ids.
+func (s *jobSet) inPartition(p identifier.Partition) []*job {
 	out := make([]*job, 0, len(s.partitions[p]))
 	for _, j := range s.partitions[p] {
 		out = append(out, j)
--- a/internal/owner/lifecycle.go
+++ b/internal/owner/lifecycle.go
@@ -9,8 +9,9 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Sent records that tasks of a submission are sent to an agent. It returns those
-// that may be sent: a task that is known to be at an agent is not among them.
+// Sent records that tasks of a submission are about to be sent to an agent. It
+// returns the tasks that may be sent, which excludes those already at an agent or
+// ended.
 func (o *Owner) Sent(now time.Time, s identifier.Submission, agent messenger.Peer, tasks []uint16) []uint16 {
 	j := o.jobs.get(s)
 	if j == nil || j.phase != phaseOpen {
@@ -23,7 +24,7 @@
 			continue
 		}
 		t.state = taskSent
-		t.unsure = false
+		t.startUnknown = false
 		t.agent = agent
 		allowed = append(allowed, index)
 	}
@@ -33,8 +34,8 @@
 	return allowed
 }
 
-// Result applies the results of an agent. Results of unknown submissions and
-// those that come twice have no effect.
+// Result applies results from an agent. Results of unknown submissions and
+// duplicate results have no effect.
 func (o *Owner) Result(now time.Time, agent messenger.Peer, r *messenger.Result) {
 	j := o.jobs.get(r.Submission)
 	if j == nil {
@@ -42,16 +43,16 @@
 	}
 	for i := range r.Tasks {
 		if j.phase == phaseAnswered {
-			o.settleLate(j, agent, &r.Tasks[i])
+			o.settleAfterAnswer(j, agent, &r.Tasks[i])
 			return
 		}
 		o.taskResult(now, j, agent, &r.Tasks[i])
 	}
-	o.weigh(j)
+	o.updateMemory(j)
 }
 
-// settleLate lets an agent drop a result that came after the answer.
-func (o *Owner) settleLate(j *job, agent messenger.Peer, r *messenger.TaskResult) {
+// settleAfterAnswer lets an agent drop a result that arrived after the answer.
+func (o *Owner) settleAfterAnswer(j *job, agent messenger.Peer, r *messenger.TaskResult) {
 	if r.Kind != messenger.ResultRefused {
 		o.out.Settles = append(o.out.Settles, AgentJob{Agent: agent, Submission: j.spec.Submission})
 	}
@@ -75,7 +76,7 @@
 
 // taskEnded applies the end of a task that started.
 func (o *Owner) taskEnded(now time.Time, j *job, t *task, r *messenger.TaskResult) {
-	t.unsure = false
+	t.startUnknown = false
 	if r.Kind == messenger.ResultDone {
 		t.state = taskDone
 		t.result = r.Payload
@@ -86,19 +87,20 @@
 		t.cause = r.Cause
 	}
 	if j.phase == phaseOpen {
-		o.conclude(now, j)
+		o.answerIfDecided(now, j)
 	}
 }
 
-// conclude answers an open job whose tasks decide its outcome.
-func (o *Owner) conclude(now time.Time, j *job) {
+// answerIfDecided answers an open job once its outcome is decided: when all tasks
+// are done, one has failed, or an agent's record says that the job was cancelled.
+func (o *Owner) answerIfDecided(now time.Time, j *job) {
 	if j.done == len(j.tasks) {
 		o.complete(now, j)
 		return
 	}
 	for i := range j.tasks {
 		if j.tasks[i].state == taskFailed {
-			o.stop(now, j, j.tasks[i].reason(), "task "+itoa(uint16(i))+": "+j.tasks[i].detail)
+			o.stop(now, j, j.tasks[i].reason(), "task "+formatIndex(uint16(i))+": "+j.tasks[i].detail)
 			return
 		}
 	}
@@ -107,15 +109,15 @@
 	}
 }
 
-// taskRefused places a task again, if the refusal proves that it did not start. A
-// refusal for a stale epoch says that another entry owns the job, so that it is
-// neither placed again nor said not to have run.
+// taskRefused reschedules a task if the refusal proves that it did not start. A
+// refusal for a stale epoch means that another entry owns the job and may start the
+// task, so the task is not rescheduled and the job is not answered with not-run.
 func (o *Owner) taskRefused(now time.Time, j *job, t *task, r *messenger.TaskResult) {
 	if !o.Rules.ProvesNotStarted(r.Refusal) {
 		return
 	}
 	if r.Refusal == messenger.RefusalStaleEpoch {
-		j.foreign = true
+		j.ownedElsewhere = true
 		return
 	}
 	if j.phase != phaseOpen {
@@ -123,20 +125,20 @@
 		t.agent = ""
 		return
 	}
-	t.replacements++
-	if t.replacements > o.limits.MaxReschedules {
+	t.reschedules++
+	if t.reschedules > o.limits.MaxReschedules {
 		t.state = taskWaiting
 		t.agent = ""
-		o.stop(now, j, submitter.ReasonOverloaded, "task "+itoa(r.Index)+" was refused by too many agents")
+		o.stop(now, j, submitter.ReasonOverloaded, "task "+formatIndex(r.Index)+" was refused by too many agents")
 		return
 	}
 	o.requeue(j, t, r.Index)
 }
 
-// requeue places a task again that is proven not to have started.
+// requeue reschedules a task that is proven not to have started.
 func (o *Owner) requeue(j *job, t *task, index uint16) {
 	t.state = taskWaiting
-	t.unsure = false
+	t.startUnknown = false
 	t.agent = ""
 	if j.phase == phaseOpen {
 		o.out.Requeues = append(o.out.Requeues, Requeue{Submission: j.spec.Submission, Index: index})
@@ -156,15 +158,16 @@
 
 // stop ends a job that cannot be completed.
 func (o *Owner) stop(now time.Time, j *job, reason submitter.Reason, detail string) {
-	o.end(now, j, reason, detail, 0)
+	o.stopRetryAfter(now, j, reason, detail, 0)
 }
 
-// end ends a job that cannot be completed: what waits is dropped and what runs
-// is cancelled. Where nothing may have started, the answer is not-run.
-func (o *Owner) end(now time.Time, j *job, reason submitter.Reason, detail string, retryAfter time.Duration) {
+// stopRetryAfter is [Owner.stop] with a delay after which the caller may retry.
+// Waiting tasks leave the queue and tasks at agents are cancelled. The answer is
+// not-run if no task may have started.
+func (o *Owner) stopRetryAfter(now time.Time, j *job, reason submitter.Reason, detail string, retryAfter time.Duration) {
 	var a *messenger.Answer
 	switch {
-	case j.foreign:
+	case j.ownedElsewhere:
 		a = unknown(j.spec.Submission, submitter.ReasonOwnerChanged, "another entry owns the job: "+detail)
 	case j.mayHaveStarted():
 		a = &messenger.Answer{Outcome: string(submitter.OutcomeFailed), Reason: string(reason), Detail: detail}
@@ -178,7 +181,7 @@
 	o.answer(now, j, a)
 }
 
-// answer ends a job and tells everyone who waits.
+// answer ends a job with an answer and sends it to every request that waits.
 func (o *Owner) answer(now time.Time, j *job, a *messenger.Answer) {
 	a.Submission = j.spec.Submission
 	for _, agent := range j.agentsInState(taskDone, taskFailed) {
@@ -187,69 +190,69 @@
 	o.answerWaiters(j, a)
 	o.unlinkAgents(j)
 	if j.phase == phaseOpen {
-		o.open--
+		o.openCount--
 	}
 	j.phase = phaseAnswered
 	j.answer = a
 	j.tasks = nil
 	j.spec.Tasks = nil
-	if isNotRun(a) && o.keys[j.spec.RequestKey] == j.spec.Submission {
-		delete(o.keys, j.spec.RequestKey)
+	if isNotRun(a) && o.keyHolders[j.spec.RequestKey] == j.spec.Submission {
+		delete(o.keyHolders, j.spec.RequestKey)
 	}
 	if isNotRun(a) && !o.Rules.KeepsNotRun() {
 		o.remove(j)
 		return
 	}
-	o.keep(now, j)
-	o.keepResults(j)
-	o.weigh(j)
+	o.startRetention(now, j)
+	o.retainResults(j)
+	o.updateMemory(j)
 }
 
-// keep sets how long a job that is not open is kept.
-func (o *Owner) keep(now time.Time, j *job) {
-	j.keptTill = now.Add(o.limits.Window + o.limits.MaxClockSkew)
-	o.due.push(due{at: j.keptTill, id: j.spec.Submission})
+// startRetention starts the time for which a job that is not open is retained.
+func (o *Owner) startRetention(now time.Time, j *job) {
+	j.retainUntil = now.Add(o.limits.Window + o.limits.MaxClockSkew)
+	o.timers.push(timer{at: j.retainUntil, id: j.spec.Submission})
 }
 
-// add takes a job into the records.
+// add inserts a job into the set of jobs.
 func (o *Owner) add(j *job) *job {
 	o.jobs.put(j)
-	o.weigh(j)
+	o.updateMemory(j)
 	return j
 }
 
-// weigh accounts for the memory of a job after it has changed.
-func (o *Owner) weigh(j *job) {
+// updateMemory accounts for the memory of a job after it has changed.
+func (o *Owner) updateMemory(j *job) {
 	if o.jobs.get(j.spec.Submission) != j {
 		return
 	}
-	n := j.memory()
-	o.bytes += n - j.bytes
-	j.bytes = n
+	n := j.memoryBytes()
+	o.recordBytes += n - j.accountedBytes
+	j.accountedBytes = n
 }
 
-// begin opens a job with its specification.
-func (o *Owner) begin(now time.Time, j *job, in Job) {
+// openJob opens a job with its specification.
+func (o *Owner) openJob(now time.Time, j *job, in Job) {
 	j.phase = phaseOpen
-	j.begun = now
+	j.openedAt = now
 	j.spec = in
 	j.spec.digest = j.digest
 	j.grow(len(in.Tasks))
-	o.open++
-	o.due.push(due{at: in.Deadline, id: in.Submission})
-	o.weigh(j)
+	o.openCount++
+	o.timers.push(timer{at: in.Deadline, id: in.Submission})
+	o.updateMemory(j)
 	for _, agent := range j.agentsInState(taskSent) {
 		o.linkAgent(now, j, agent)
 	}
 }
 
-// holdKey lets a job hold its request key.
-func (o *Owner) holdKey(j *job) {
+// reserveKey reserves the request key of a job for it, unless another job holds it.
+func (o *Owner) reserveKey(j *job) {
 	if j.spec.RequestKey == "" {
 		return
 	}
-	if _, held := o.keys[j.spec.RequestKey]; !held {
-		o.keys[j.spec.RequestKey] = j.spec.Submission
+	if _, held := o.keyHolders[j.spec.RequestKey]; !held {
+		o.keyHolders[j.spec.RequestKey] = j.spec.Submission
 	}
 }
 
@@ -263,44 +266,46 @@
 		j.digest = digest
 	}
 	if j.phase != phaseRecovered {
-		o.serve(now, j, w, in.Deadline)
+		o.answerOrWait(now, j, w, in.Deadline)
 		return nil
 	}
-	return o.resume(now, j, w, in)
+	return o.resumeRecovered(now, j, w, in)
 }
 
-// serve answers a request from a known job or lets it wait.
-func (o *Owner) serve(now time.Time, j *job, w Waiter, deadline time.Time) {
+// answerOrWait answers a request from a known job, or adds it to the waiters if the
+// job has no answer yet.
+func (o *Owner) answerOrWait(now time.Time, j *job, w Waiter, deadline time.Time) {
 	switch {
 	case j.phase == phaseAnswered:
 		o.out.Answers = append(o.out.Answers, Answered{Waiter: w, Answer: j.answer})
 	case j.answerLost:
 		o.out.Answers = append(o.out.Answers, Answered{Waiter: w, Answer: answerLost(j.spec.Submission)})
 	default:
-		o.wait(now, j, w, deadline)
+		o.addWaiter(now, j, w, deadline)
 		o.expireWaiters(now, j)
 	}
 }
 
-// wait adds a request to those that wait for a job. One that waits already is
+// addWaiter adds a request to the waiters of a job. A request that waits already is
 // not added again, so that it gets one answer.
-func (o *Owner) wait(_ time.Time, j *job, w Waiter, deadline time.Time) {
-	if o.waiting[w] != nil {
+func (o *Owner) addWaiter(_ time.Time, j *job, w Waiter, deadline time.Time) {
+	if o.jobOfWaiter[w] != nil {
 		return
 	}
-	o.waiting[w] = j
+	o.jobOfWaiter[w] = j
 	j.waiters = append(j.waiters, waiter{Waiter: w, deadline: deadline})
-	j.abandoned = time.Time{}
+	j.abandonedAt = time.Time{}
 	if j.phase != phaseOpen || deadline.Before(j.spec.Deadline) {
-		o.due.push(due{at: deadline, id: j.spec.Submission})
+		o.timers.push(timer{at: deadline, id: j.spec.Submission})
 	}
 }
 
-// unwait removes a request and notes when none is left.
-func (o *Owner) unwait(now time.Time, j *job, w Waiter) {
-	delete(o.waiting, w)
+// removeWaiter removes a request from the waiters of a job. It starts the grace time
+// if no waiter is left.
+func (o *Owner) removeWaiter(now time.Time, j *job, w Waiter) {
+	delete(o.jobOfWaiter, w)
 	j.waiters = slices.DeleteFunc(j.waiters, func(x waiter) bool { return x.Waiter == w })
-	if len(j.waiters) == 0 && o.runs(j) {
-		o.abandon(now, j)
+	if len(j.waiters) == 0 && o.mayRun(j) {
+		o.startGrace(now, j)
 	}
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,18 +1,18 @@
-// Package owner decides the life of each submission at the entry that owns its
-// partition.
+// Package owner implements the state machine of each submission at the entry that
+// owns its partition.
 //
 // A submission becomes a job when it is first submitted. Each of its tasks waits
-// for a place, is sent to one agent, and ends; a task that an agent refused goes
-// back to waiting, and a task that may have started is never sent again. The job
-// ends with one answer, which every request for the submission gets, and the job
-// is kept with its answer for the deduplication window, also when the answer is
-// that nothing ran: a late duplicate of the request must not start it then.
+// to be scheduled, is sent to one agent, and ends. A task that an agent refused
+// waits again; a task that may have started is never sent again. The job ends with
+// one answer, which every request for the submission gets. The job and its answer
+// are retained for the deduplication window, also when the answer is not-run: a
+// late duplicate of the request must not start the job after that.
 //
 // A job may also be known from agents' records or from a former owner. It then
 // has no specification until its submission arrives again.
 //
-// The package does no I/O: events come in with a time, and what is to be done is
-// collected until [Owner.Take].
+// The package does no I/O: each event is passed in with its time, and the resulting
+// actions are collected until [Owner.Take].
 package owner
 
 import (
@@ -25,22 +25,24 @@
 
 // Limits are the settings of an owner.
 type Limits struct {
-	// Window is how old a submission id may be. An answered job is kept for the
-	// window and the permitted clock difference, counted from its answer.
+	// Window is the deduplication window: the greatest age of a submission id that
+	// is accepted. An answered job is retained for Window plus MaxClockSkew from its
+	// answer on.
 	Window time.Duration
-	// ClockDifference is how far in the future an id may be made.
+	// MaxClockSkew is how far in the future the time of a submission id may be.
 	MaxClockSkew time.Duration
-	// MaxRecordBytes bounds the memory of all jobs but for kept results. At the
-	// bound new work is refused; nothing is forgotten.
+	// MaxRecordBytes bounds the memory of all jobs, without retained results. Beyond
+	// it new jobs are refused; no record is evicted early.
 	MaxRecordBytes int
-	// MaxAnswerBytes bounds the results that are kept in answers. Beyond it the
+	// MaxAnswerBytes bounds the results that are retained in answers. Beyond it the
 	// oldest are dropped, and their submissions are answered with answer-lost.
 	MaxAnswerBytes int
-	// LostAfter is how long the tasks at an unreachable agent are awaited.
+	// AgentLossTimeout is how long an agent may be disconnected before the jobs with
+	// tasks there fail.
 	AgentLossTimeout time.Duration
-	// MaxReplacements bounds how often one task may be placed again after a refusal.
+	// MaxReschedules bounds how often one task may be rescheduled after a refusal.
 	MaxReschedules int
-	// AbandonGrace is how long a job goes on when no request waits for it.
+	// AbandonGrace is how long a job continues while no request waits for it.
 	AbandonGrace time.Duration
 }
 
@@ -59,7 +61,7 @@
 	RequestKey string
 	Deadline   time.Time
 	Tasks      []messenger.TaskSpec
-	digest     uint64 // digest is the digest of the other fields once it is known; 0 before.
+	digest     uint64 // digest caches [Digest] of the job; 0 if it was not computed yet.
 }
 
 // Answered is an answer for one waiter.
@@ -74,45 +76,49 @@
 	Submission identifier.Submission
 }
 
-// Requeue is a task that must be placed again.
+// Requeue is a task that must be scheduled again.
 type Requeue struct {
 	Submission identifier.Submission
 	Index      uint16
 }
 
-// Output is what the entry has to do.
+// Output holds the actions that the entry must carry out.
 type Output struct {
 	Answers  []Answered
 	Requeues []Requeue
-	// Drops are submissions whose waiting tasks must leave the queue.
+	// Drops are submissions whose waiting tasks must be removed from the queue.
 	Drops []identifier.Submission
-	// Cancels are submissions to stop at an agent.
+	// Cancels are submissions to cancel at an agent.
 	Cancels []AgentJob
-	// Settles are submissions whose results an agent may drop.
+	// Settles are submissions whose results an agent may delete.
 	Settles []AgentJob
 }
 
 // Owner is the state of all jobs that this entry owns.
 type Owner struct {
 	limits Limits
-	// Rules are the decisions that at-most-once rests on.
+	// Rules are the checks that at-most-once execution depends on.
 	Rules Rules
-	// Awaited reports whether requests for a recovered job may be on their way to
-	// this owner, so that it is not yet known that nobody asks for the job.
+	// RequestsExpected reports whether requests for a recovered job may still be in
+	// flight to this owner. Until they have arrived, the job is not abandoned.
 	RequestsExpected func(now time.Time, s identifier.Submission) bool
 	jobs             jobSet
-	open             int                              // open counts the jobs in phase open.
-	waiting          map[Waiter]*job                  // waiting has the job of each request that waits.
-	keys             map[string]identifier.Submission // keys has the submission that holds each request key.
-	agents           map[messenger.Peer]*agentJobs    // agents has the agents with tasks of open jobs.
-	connected        map[messenger.Peer]bool
-	lost             []lostAgent             // lost has the unreachable agents in order of loss.
-	due              dueHeap                 // due has the times at which a job must be looked at.
-	kept             []identifier.Submission // kept has the jobs with results, oldest first.
-	latest           time.Time               // latest is the latest wall-clock time seen; it never goes back.
-	bytes            int                     // bytes is the memory of all jobs but for kept results.
-	results          int                     // results is the memory of kept results.
-	out              Output
+	openCount        int // openCount is the number of jobs in phase open.
+	jobOfWaiter      map[Waiter]*job
+	// keyHolders maps each reserved request key to its submission.
+	keyHolders map[string]identifier.Submission
+	// agents holds the agents with tasks of jobs that have no answer.
+	agents    map[messenger.Peer]*agentJobs
+	connected map[messenger.Peer]bool
+	// disconnected is in the order of disconnection.
+	disconnected []disconnectedAgent
+	timers       timerHeap
+	// withResults holds the jobs whose results are retained, oldest first.
+	withResults         []identifier.Submission
+	latestTime          time.Time // latestTime is the latest wall-clock time seen; it never decreases.
+	recordBytes         int       // recordBytes is the memory of all jobs without retained results.
+	retainedResultBytes int
+	out                 Output
 }
 
 // New returns an owner without jobs.
@@ -121,26 +127,26 @@
 		limits:           limits,
 		Rules:            DefaultRules(),
 		RequestsExpected: func(time.Time, identifier.Submission) bool { return false },
-		waiting:          make(map[Waiter]*job),
-		keys:             make(map[string]identifier.Submission),
+		jobOfWaiter:      make(map[Waiter]*job),
+		keyHolders:       make(map[string]identifier.Submission),
 		agents:           make(map[messenger.Peer]*agentJobs),
 		connected:        make(map[messenger.Peer]bool),
 	}
 }
 
-// Jobs returns the number of jobs that are kept and of those without an answer.
-func (o *Owner) Jobs() (kept, open int) { return o.jobs.count, o.open }
+// Jobs returns the number of retained jobs and how many of them are open.
+func (o *Owner) Jobs() (kept, open int) { return o.jobs.count, o.openCount }
 
 // Waiting returns the number of requests that wait for an answer.
-func (o *Owner) Waiting() int { return len(o.waiting) }
+func (o *Owner) Waiting() int { return len(o.jobOfWaiter) }
 
-// Bytes returns the memory that the jobs take, and that of kept results.
-func (o *Owner) Bytes() (jobs, results int) { return o.bytes, o.results }
+// Bytes returns the memory of the jobs, and that of their retained results.
+func (o *Owner) Bytes() (jobs, results int) { return o.recordBytes, o.retainedResultBytes }
 
 // Known reports whether the owner has a record of the submission.
 func (o *Owner) Known(s identifier.Submission) bool { return o.jobs.get(s) != nil }
 
-// Job returns the job of a submission that has no answer yet.
+// Job returns the open job of a submission.
 func (o *Owner) Job(s identifier.Submission) (Job, bool) {
 	j := o.jobs.get(s)
 	if j == nil || j.phase != phaseOpen {
@@ -149,9 +155,10 @@
 	return j.spec, true
 }
 
-// Submit applies a request. It returns the tasks that must be placed: all of a
-// new job, those that no agent has started of a recovered one, and none of a job
-// that is known, to which the waiter is attached or whose answer it gets.
+// Submit applies a request. It returns the tasks that must be scheduled: all tasks
+// of a new job, the tasks of a recovered job that no agent has started, and none of
+// a job that is open or answered. In that last case the waiter is attached to the
+// job or gets its answer.
 //
 // A recovered job may be submitted only once every agent that may have started a
 // task of it has answered the fence; [Owner.Attach] serves requests before that.
@@ -159,18 +166,18 @@
 	if j := o.jobs.get(in.Submission); j != nil {
 		return o.resubmit(now, j, w, in)
 	}
-	if a := o.inadmissible(now, &in); a != nil {
+	if a := o.rejection(now, &in); a != nil {
 		o.out.Answers = append(o.out.Answers, Answered{Waiter: w, Answer: a})
 		return nil
 	}
 	j := o.add(newJob(&in))
-	o.begin(now, j, in)
-	o.wait(now, j, w, in.Deadline)
+	o.openJob(now, j, in)
+	o.addWaiter(now, j, w, in.Deadline)
 	if a := o.refusal(&in); a != nil {
 		o.answer(now, j, a)
 		return nil
 	}
-	o.holdKey(j)
+	o.reserveKey(j)
 	o.expireAtOnce(now, j)
 	if j.phase != phaseOpen {
 		return nil
@@ -178,63 +185,64 @@
 	return j.unsent()
 }
 
-// Attach lets a request wait for the answer of a known submission without
-// bringing its tasks. It returns false if the submission is not known to the team.
+// Attach lets a request that carries no tasks wait for the answer of a known
+// submission. It returns false if the team has no such submission.
 func (o *Owner) Attach(now time.Time, w Waiter, s identifier.Submission, team string, deadline time.Time) bool {
 	j := o.jobs.get(s)
 	if j == nil || !j.belongsTo(team) {
 		return false
 	}
-	o.serve(now, j, w, deadline)
+	o.answerOrWait(now, j, w, deadline)
 	return true
 }
 
-// Abandon records that the caller of a request went away. A job for which no
+// Abandon records that the caller of a request has disconnected. A job for which no
 // request waits is cancelled after the grace time, unless it is submitted again.
-// A recovered job of which tasks may run counts as abandoned from the start.
+// A recovered job with tasks that may be running counts as abandoned from the start.
 func (o *Owner) Abandon(now time.Time, w Waiter) {
-	j := o.waiting[w]
+	j := o.jobOfWaiter[w]
 	if j == nil {
 		return
 	}
-	o.unwait(now, j, w)
+	o.removeWaiter(now, j, w)
 }
 
-// Cancel ends a job without an answer. It returns false if the team has no such
-// job.
+// Cancel cancels a job that has no answer yet. It returns false if the team has no
+// such job.
 func (o *Owner) Cancel(now time.Time, s identifier.Submission, team string) bool {
 	j := o.jobs.get(s)
 	if j == nil || !j.belongsTo(team) {
 		return false
 	}
-	if o.runs(j) {
+	if o.mayRun(j) {
 		o.stop(now, j, submitter.ReasonCancelled, "the job was cancelled")
 	}
 	return true
 }
 
-// Refuse ends a job that cannot be placed. The answer is not-run if none of its
-// tasks may have started.
+// Refuse ends an open job that cannot be scheduled. The answer is not-run if none of
+// its tasks may have started.
 func (o *Owner) Refuse(now time.Time, s identifier.Submission, reason submitter.Reason, detail string, retryAfter time.Duration) {
 	j := o.jobs.get(s)
 	if j == nil || j.phase != phaseOpen {
 		return
 	}
-	o.end(now, j, reason, detail, retryAfter)
+	o.stopRetryAfter(now, j, reason, detail, retryAfter)
 }
 
-// Tick applies the passing of time: deadlines, lost agents and the window.
+// Tick applies everything that expires with time: deadlines, grace times,
+// disconnected agents and the retention of answered jobs.
 func (o *Owner) Tick(now time.Time) {
-	o.expireLost(now)
-	for len(o.due) > 0 && !now.Before(o.due[0].at) {
-		d := o.due.pop()
-		if j := o.jobs.get(d.id); j != nil {
+	o.expireDisconnected(now)
+	for len(o.timers) > 0 && !now.Before(o.timers[0].at) {
+		t := o.timers.pop()
+		if j := o.jobs.get(t.id); j != nil {
 			o.expire(now, j)
 		}
 	}
 }
 
-// Take returns what is to be done and clears it.
+// Take returns the pending actions and clears them.
 func (o *Owner) Take() Output {
 	out := o.out
 	o.out = Output{}
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -24,118 +24,118 @@
 	AbandonGrace:     time.Second,
 }
 
-// TestScripts runs each script with many sets of ids: what an owner does may not depend
-// on which ids the jobs got.
+// TestScripts runs each script with many sets of ids. The actions of an owner must not
+// depend on the ids of the jobs.
 func TestScripts(t *testing.T) {
 	const seeds = 2000
 	scripter.RunSeeds(t, "testdata/*.txtar", seeds, runScript)
 }
 
-// bench drives owners with the lines of a script. The lines concern the owner
-// that was named last; the first is called a.
-type bench struct {
-	t      *testing.T
-	owners map[string]*Owner
-	owner  *Owner
-	now    time.Time
-	ids    identifier.Generator
-	names  map[identifier.Submission]string
-	jobs   map[string]Job
-	held   bool
-	out    strings.Builder
+// scriptRunner applies the lines of a script to owners. A line applies to the owner
+// that the latest "use" or "hand-over" named, or to "a" before the first of them.
+type scriptRunner struct {
+	t               *testing.T
+	owners          map[string]*Owner
+	owner           *Owner
+	now             time.Time
+	ids             identifier.Generator
+	names           map[identifier.Submission]string
+	jobs            map[string]Job
+	holdsPartitions bool
+	out             strings.Builder
 }
 
 func runScript(t *testing.T, lines []scripter.Line, random io.Reader) string {
-	b := &bench{
-		t:      t,
-		owners: make(map[string]*Owner),
-		now:    time.Unix(1_700_000_000, 0),
-		ids:    identifier.Generator{Random: random},
-		names:  make(map[identifier.Submission]string),
-		jobs:   make(map[string]Job),
-		held:   true,
-	}
-	b.use("a")
+	sr := &scriptRunner{
+		t:               t,
+		owners:          make(map[string]*Owner),
+		now:             time.Unix(1_700_000_000, 0),
+		ids:             identifier.Generator{Random: random},
+		names:           make(map[identifier.Submission]string),
+		jobs:            make(map[string]Job),
+		holdsPartitions: true,
+	}
+	sr.useOwner("a")
 	for _, l := range lines {
-		fmt.Fprintf(&b.out, "%s %s\n", l.Verb, strings.Join(l.Args, " "))
-		b.apply(l)
-		b.report()
+		fmt.Fprintf(&sr.out, "%s %s\n", l.Verb, strings.Join(l.Args, " "))
+		sr.apply(l)
+		sr.report()
 	}
-	return b.out.String()
+	return sr.out.String()
 }
 
-func (b *bench) use(name string) {
-	o := b.owners[name]
+func (sr *scriptRunner) useOwner(name string) {
+	o := sr.owners[name]
 	if o == nil {
 		o = New(testLimits)
-		o.Rules.HoldsPartition = func(identifier.Partition) bool { return b.held }
+		o.Rules.HoldsPartition = func(identifier.Partition) bool { return sr.holdsPartitions }
 		o.AgentUp("x")
 		o.AgentUp("y")
-		b.owners[name] = o
+		sr.owners[name] = o
 	}
-	b.owner = o
+	sr.owner = o
 }
 
-func (b *bench) apply(l scripter.Line) {
-	id := b.job(l).Submission
+func (sr *scriptRunner) apply(l scripter.Line) {
+	id := sr.job(l).Submission
 	agent := messenger.Peer(l.Arg("agent"))
 	switch l.Verb {
 	case "use":
-		b.use(l.Args[0])
+		sr.useOwner(l.Args[0])
 	case "hold":
-		b.held = l.Args[0] == "true"
+		sr.holdsPartitions = l.Args[0] == "true"
 	case "submit":
-		b.submit(l)
+		sr.submit(l)
 	case "attach":
-		known := b.owner.Attach(b.now, b.waiter(l), id, "team", b.now.Add(b.duration(l, "timeout", "10s")))
-		fmt.Fprintf(&b.out, "  known: %t\n", known)
+		known := sr.owner.Attach(sr.now, sr.waiter(l), id, "team", sr.now.Add(sr.duration(l, "timeout", "10s")))
+		fmt.Fprintf(&sr.out, "  known: %t\n", known)
 	case "abandon":
-		b.owner.Abandon(b.now, b.waiter(l))
+		sr.owner.Abandon(sr.now, sr.waiter(l))
 	case "cancel":
-		fmt.Fprintf(&b.out, "  cancelled: %t\n", b.owner.Cancel(b.now, id, l.Arg("team")))
+		fmt.Fprintf(&sr.out, "  cancelled: %t\n", sr.owner.Cancel(sr.now, id, l.Arg("team")))
 	case "refuse":
-		b.owner.Refuse(b.now, id, submitter.ReasonOverloaded, "full", time.Second)
+		sr.owner.Refuse(sr.now, id, submitter.ReasonOverloaded, "full", time.Second)
 	case "sent":
-		fmt.Fprintf(&b.out, "  sent: %v\n", b.owner.Sent(b.now, id, agent, b.tasks(l, "tasks")))
+		fmt.Fprintf(&sr.out, "  sent: %v\n", sr.owner.Sent(sr.now, id, agent, sr.tasks(l, "tasks")))
 	case "result":
-		b.owner.Result(b.now, agent, &messenger.Result{Submission: id, Tasks: b.results(l, "tasks", messenger.ResultKind(l.Arg("kind")))})
+		sr.owner.Result(sr.now, agent, &messenger.Result{Submission: id, Tasks: sr.results(l, "tasks", messenger.ResultKind(l.Arg("kind")))})
 	case "up":
-		b.owner.AgentUp(agent)
+		sr.owner.AgentUp(agent)
 	case "down":
-		b.owner.AgentDown(b.now, agent)
+		sr.owner.AgentDown(sr.now, agent)
 	case "record":
-		b.record(l, agent)
+		sr.record(l, agent)
 	case "reconciled":
-		b.owner.Reconciled(b.now, agent, id.Partition())
+		sr.owner.Reconciled(sr.now, agent, id.Partition())
 	case "hand-over":
-		b.handOver(l)
+		sr.handOver(l)
 	case "wait":
-		b.now = b.now.Add(scripter.Duration(b.t, l.Args[0]))
-		b.owner.Tick(b.now)
+		sr.now = sr.now.Add(scripter.Duration(sr.t, l.Args[0]))
+		sr.owner.Tick(sr.now)
 	default:
-		b.t.Fatalf("%v: unknown verb", l)
+		sr.t.Fatalf("%v: unknown verb", l)
 	}
 }
 
-func (b *bench) submit(l scripter.Line) {
-	j := b.job(l)
-	j.Deadline = b.now.Add(b.duration(l, "timeout", "10s"))
+func (sr *scriptRunner) submit(l scripter.Line) {
+	j := sr.job(l)
+	j.Deadline = sr.now.Add(sr.duration(l, "timeout", "10s"))
 	if body := l.Arg("body"); body != "" {
 		j.Tasks = []messenger.TaskSpec{{Payload: []byte(body)}}
 	}
-	fmt.Fprintf(&b.out, "  place: %v\n", b.owner.Submit(b.now, b.waiter(l), j))
+	fmt.Fprintf(&sr.out, "  place: %v\n", sr.owner.Submit(sr.now, sr.waiter(l), j))
 }
 
-func (b *bench) record(l scripter.Line, agent messenger.Peer) {
-	j := b.job(l)
+func (sr *scriptRunner) record(l scripter.Line, agent messenger.Peer) {
+	j := sr.job(l)
 	if l.Arg("nokey") == "true" {
-		b.owner.Recover(b.now, agent, messenger.Record{Submission: j.Submission, Cancelled: true})
+		sr.owner.Recover(sr.now, agent, messenger.Record{Submission: j.Submission, Cancelled: true})
 		return
 	}
-	b.owner.Recover(b.now, agent, messenger.Record{
+	sr.owner.Recover(sr.now, agent, messenger.Record{
 		Submission: j.Submission,
-		Running:    b.tasks(l, "running"),
-		Ended:      b.results(l, "ended", messenger.ResultDone),
+		Running:    sr.tasks(l, "running"),
+		Ended:      sr.results(l, "ended", messenger.ResultDone),
 		Cancelled:  l.Arg("cancelled") == "true",
 		Settled:    l.Arg("settled") == "true",
 		RequestKey: j.RequestKey,
@@ -143,70 +143,71 @@
 	})
 }
 
-// handOver passes the partition of a job to another owner, which is used then.
-func (b *bench) handOver(l scripter.Line) {
-	p := b.job(l).Submission.Partition()
-	exported := b.owner.Export(b.now, p)
-	for _, r := range b.owner.Release(b.now, p) {
-		fmt.Fprintf(&b.out, "  released: %s for requests %v, due in %s\n", b.names[r.Job.Submission], r.Waiters, r.Job.Deadline.Sub(b.now))
+// handOver moves the partition of a job to another owner, to which the next lines apply.
+func (sr *scriptRunner) handOver(l scripter.Line) {
+	p := sr.job(l).Submission.Partition()
+	exported := sr.owner.Export(sr.now, p)
+	for _, r := range sr.owner.Release(sr.now, p) {
+		fmt.Fprintf(&sr.out, "  released: %s for requests %v, due in %s\n", sr.names[r.Job.Submission], r.Waiters, r.Job.Deadline.Sub(sr.now))
 	}
-	b.report()
-	kept, open := b.owner.Jobs()
-	bytes, results := b.owner.Bytes()
-	fmt.Fprintf(&b.out, "  left behind: %d jobs, %d open, %d bytes, %d bytes of results\n", kept, open, bytes, results)
-	b.use(l.Arg("to"))
+	sr.report()
+	kept, open := sr.owner.Jobs()
+	bytes, results := sr.owner.Bytes()
+	fmt.Fprintf(&sr.out, "  left behind: %d jobs, %d open, %d bytes, %d bytes of results\n", kept, open, bytes, results)
+	sr.useOwner(l.Arg("to"))
 	for _, h := range exported {
-		b.owner.Import(b.now, h)
+		sr.owner.Import(sr.now, h)
 	}
 }
 
-// report writes what the owner wants done after a line.
-func (b *bench) report() {
-	out := b.owner.Take()
+// report writes the actions that the owner requested since the last report.
+func (sr *scriptRunner) report() {
+	out := sr.owner.Take()
 	for _, a := range out.Answers {
-		fmt.Fprintf(&b.out, "  answer %d: %s %s %q\n", a.Waiter.Ticket, a.Answer.Outcome, a.Answer.Reason, a.Answer.Results)
+		fmt.Fprintf(&sr.out, "  answer %d: %s %s %q\n", a.Waiter.Ticket, a.Answer.Outcome, a.Answer.Reason, a.Answer.Results)
 	}
 	for _, r := range out.Requeues {
-		fmt.Fprintf(&b.out, "  place again: %s/%d\n", b.names[r.Submission], r.Index)
+		fmt.Fprintf(&sr.out, "  place again: %s/%d\n", sr.names[r.Submission], r.Index)
 	}
 	for _, s := range out.Drops {
-		fmt.Fprintf(&b.out, "  drop: %s\n", b.names[s])
+		fmt.Fprintf(&sr.out, "  drop: %s\n", sr.names[s])
 	}
 	for _, x := range out.Cancels {
-		fmt.Fprintf(&b.out, "  cancel: %s at %s\n", b.names[x.Submission], x.Agent)
+		fmt.Fprintf(&sr.out, "  cancel: %s at %s\n", sr.names[x.Submission], x.Agent)
 	}
 	for _, x := range out.Settles {
-		fmt.Fprintf(&b.out, "  settle: %s at %s\n", b.names[x.Submission], x.Agent)
+		fmt.Fprintf(&sr.out, "  settle: %s at %s\n", sr.names[x.Submission], x.Agent)
 	}
 }
 
-// job returns the job that stands for a name; its id is made when it is first
-// named, shifted by the argument age.
-func (b *bench) job(l scripter.Line) Job {
+// job returns the job with the name that a line gives. Its id is generated when the
+// name first occurs, with a time that lies the argument age in the past.
+func (sr *scriptRunner) job(l scripter.Line) Job {
 	name := l.Arg("job")
-	if j, ok := b.jobs[name]; ok || name == "" {
+	if j, ok := sr.jobs[name]; ok || name == "" {
 		return j
 	}
-	id, ok := b.newID(b.now.Add(-b.duration(l, "age", "0s")), l.Arg("key"))
+	id, ok := sr.newID(sr.now.Add(-sr.duration(l, "age", "0s")), l.Arg("key"))
 	if !ok {
-		b.t.Fatal("no id was found for the job " + name)
+		sr.t.Fatal("no id found for the job " + name)
 	}
 	j := Job{Submission: id, Service: "quote", Team: "team", RequestKey: l.Arg("key")}
 	for i := range 2 {
 		j.Tasks = append(j.Tasks, messenger.TaskSpec{Payload: []byte(strconv.Itoa(i))})
 	}
-	b.jobs[name] = j
-	b.names[id] = name
+	sr.jobs[name] = j
+	sr.names[id] = name
 	return j
 }
 
-// newID returns an id in a partition of its own, or in that of its request key.
-func (b *bench) newID(now time.Time, key string) (identifier.Submission, bool) {
+// newID returns an id in the partition of its request key or, without a key, in a
+// partition that no other job of the script uses.
+func (sr *scriptRunner) newID(now time.Time, key string) (identifier.Submission, bool) {
 	if key != "" {
-		return b.ids.NewForKey(now, key)
+		return sr.ids.NewForKey(now, key)
 	}
-	return b.ids.NewIn(now, func(p identifier.Partition) bool {
-		for other := range b.names {
+	return sr.ids.NewIn(now, func(p identifier.Partition) bool {
+		for other := range sr.names {
 			if other.Partition() == p {
 				return false
 			}
@@ -215,29 +216,29 @@
 	})
 }
 
-func (b *bench) waiter(l scripter.Line) Waiter {
+func (sr *scriptRunner) waiter(l scripter.Line) Waiter {
 	ticket, err := strconv.ParseUint(l.Arg("ticket"), 10, 64)
 	if err != nil {
-		b.t.Fatal(err)
+		sr.t.Fatal(err)
 	}
 	return Waiter{Ticket: ticket}
 }
 
-func (b *bench) tasks(l scripter.Line, name string) []uint16 {
+func (sr *scriptRunner) tasks(l scripter.Line, name string) []uint16 {
 	var out []uint16
 	for text := range strings.FieldsFuncSeq(l.Arg(name), func(r rune) bool { return r == ',' }) {
 		n, err := strconv.Atoi(text)
 		if err != nil {
-			b.t.Fatal(err)
+			sr.t.Fatal(err)
 		}
 		out = append(out, uint16(n))
 	}
 	return out
 }
 
-func (b *bench) results(l scripter.Line, name string, kind messenger.ResultKind) []messenger.TaskResult {
+func (sr *scriptRunner) results(l scripter.Line, name string, kind messenger.ResultKind) []messenger.TaskResult {
 	var out []messenger.TaskResult
-	for _, index := range b.tasks(l, name) {
+	for _, index := range sr.tasks(l, name) {
 		r := messenger.TaskResult{Index: index, Kind: kind, Refusal: messenger.Refusal(l.Arg("refusal"))}
 		if kind == messenger.ResultDone && l.Arg("settled") == "" {
 			r.Payload = []byte{byte('0' + index)}
@@ -247,9 +248,9 @@
 	return out
 }
 
-func (b *bench) duration(l scripter.Line, name, otherwise string) time.Duration {
+func (sr *scriptRunner) duration(l scripter.Line, name, otherwise string) time.Duration {
 	if text := l.Arg(name); text != "" {
-		return scripter.Duration(b.t, text)
+		return scripter.Duration(sr.t, text)
 	}
-	return scripter.Duration(b.t, otherwise)
+	return scripter.Duration(sr.t, otherwise)
 }
--- a/internal/owner/recover.go
+++ b/internal/owner/recover.go
@@ -8,9 +8,8 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Recover applies what an agent remembers of a submission. A submission that is
-// not known becomes a recovered job, which costs only its record until it is
-// submitted again.
+// Recover applies an agent's record of a submission. A submission that is not known
+// becomes a recovered job, which has only a record until it is submitted again.
 func (o *Owner) Recover(now time.Time, agent messenger.Peer, r messenger.Record) {
 	j := o.jobs.get(r.Submission)
 	switch {
@@ -21,8 +20,8 @@
 			digest: r.Digest,
 		}
 		o.add(j)
-		o.keep(now, j)
-		o.holdKey(j)
+		o.startRetention(now, j)
+		o.reserveKey(j)
 	case j.phase == phaseAnswered:
 		o.recoverAnswered(j, agent, &r)
 		return
@@ -30,20 +29,20 @@
 		o.conflict(now, j)
 		return
 	}
-	o.merge(now, j, agent, &r)
-	o.weigh(j)
-	o.abandonRecovered(now, j)
+	o.mergeRecord(now, j, agent, &r)
+	o.updateMemory(j)
+	o.startRecoveredGrace(now, j)
 }
 
-// abandonRecovered begins the grace time of a recovered job that may run. Those
-// who asked the former owner for it may have gone with that one.
-func (o *Owner) abandonRecovered(now time.Time, j *job) {
-	if j.phase == phaseRecovered && len(j.waiters) == 0 && j.abandoned.IsZero() && o.runs(j) {
-		o.abandon(now, j)
+// startRecoveredGrace starts the grace time of a recovered job that may be running.
+// The requests for it may have ended together with the former owner.
+func (o *Owner) startRecoveredGrace(now time.Time, j *job) {
+	if j.phase == phaseRecovered && len(j.waiters) == 0 && j.abandonedAt.IsZero() && o.mayRun(j) {
+		o.startGrace(now, j)
 	}
 }
 
-// recoverAnswered lets the agent drop its results and stops what still runs.
+// recoverAnswered lets the agent delete its results and cancels tasks that still run.
 func (o *Owner) recoverAnswered(j *job, agent messenger.Peer, r *messenger.Record) {
 	x := AgentJob{Agent: agent, Submission: j.spec.Submission}
 	if !r.Settled {
@@ -54,7 +53,7 @@
 	}
 }
 
-// conflict answers an open job whose id an agent knows with another body.
+// conflict answers an open job whose id is in an agent's record with another digest.
 func (o *Owner) conflict(now time.Time, j *job) {
 	if j.phase == phaseOpen {
 		o.out.Drops = append(o.out.Drops, j.spec.Submission)
@@ -63,15 +62,15 @@
 	}
 }
 
-// merge takes over the tasks of a record that are not known yet, and those that
-// were sent to the agent.
-func (o *Owner) merge(now time.Time, j *job, agent messenger.Peer, r *messenger.Record) {
-	o.identify(j, r)
+// mergeRecord updates a job from the tasks of an agent's record, except for tasks
+// that are at another agent or have ended.
+func (o *Owner) mergeRecord(now time.Time, j *job, agent messenger.Peer, r *messenger.Record) {
+	o.fillIdentity(j, r)
 	j.cancelled = j.cancelled || r.Cancelled
 	for _, index := range r.Running {
-		if t := o.recoverTask(j, agent, index); t != nil {
+		if t := o.taskForRecord(j, agent, index); t != nil {
 			t.state = taskSent
-			t.unsure = false
+			t.startUnknown = false
 			t.agent = agent
 		}
 	}
@@ -79,13 +78,13 @@
 		if j.phase == phaseAnswered {
 			return
 		}
-		t := o.recoverTask(j, agent, r.Ended[i].Index)
+		t := o.taskForRecord(j, agent, r.Ended[i].Index)
 		if t == nil {
 			continue
 		}
 		t.agent = agent
 		if r.Settled {
-			o.loseAnswer(now, j, t)
+			o.markAnswerLost(now, j, t)
 			continue
 		}
 		o.taskEnded(now, j, t, &r.Ended[i])
@@ -94,26 +93,26 @@
 		o.linkAgent(now, j, agent)
 	}
 	if j.phase == phaseOpen {
-		o.conclude(now, j)
+		o.answerIfDecided(now, j)
 	}
 }
 
-// identify completes what is known of a job from a record. The record of an agent
-// that was only told of a cancellation says nothing but that.
-func (o *Owner) identify(j *job, r *messenger.Record) {
+// fillIdentity copies the digest, service and request key from a record into a job
+// that lacks them. A record that was made by a cancellation alone has none of them.
+func (o *Owner) fillIdentity(j *job, r *messenger.Record) {
 	if j.digest == 0 {
 		j.digest = r.Digest
 	}
 	if j.phase == phaseRecovered && j.spec.RequestKey == "" {
 		j.spec.Service = r.Service
 		j.spec.RequestKey = r.RequestKey
-		o.holdKey(j)
+		o.reserveKey(j)
 	}
 }
 
-// recoverTask returns the task that a record of the agent decides, or nil if the
-// task is known to be elsewhere or to have ended.
-func (o *Owner) recoverTask(j *job, agent messenger.Peer, index uint16) *task {
+// taskForRecord returns the task that a record of the agent may update, or nil if the
+// task is at another agent or has ended.
+func (o *Owner) taskForRecord(j *job, agent messenger.Peer, index uint16) *task {
 	if int(index) >= submitter.MaxTasks || j.phase == phaseOpen && int(index) >= len(j.tasks) {
 		return nil
 	}
@@ -125,8 +124,9 @@
 	return nil
 }
 
-// loseAnswer notes that a task ended and that its result was given away.
-func (o *Owner) loseAnswer(now time.Time, j *job, t *task) {
+// markAnswerLost records that a task ended and that its result was delivered before
+// and is no longer available.
+func (o *Owner) markAnswerLost(now time.Time, j *job, t *task) {
 	t.state = taskDone
 	j.answerLost = true
 	if j.phase == phaseOpen {
@@ -137,25 +137,25 @@
 
 // resume opens a recovered job with its specification and returns the tasks that
 // no agent has started.
-func (o *Owner) resume(now time.Time, j *job, w Waiter, in Job) []uint16 {
+func (o *Owner) resumeRecovered(now time.Time, j *job, w Waiter, in Job) []uint16 {
 	if len(j.tasks) > len(in.Tasks) {
 		o.out.Answers = append(o.out.Answers, Answered{Waiter: w, Answer: unknown(in.Submission,
 			submitter.ReasonConflictingRequest, "the submission id was used before with more tasks")})
 		return nil
 	}
 	lost := j.answerLost
-	o.begin(now, j, in)
-	o.wait(now, j, w, in.Deadline)
-	if holder, held := o.keys[in.RequestKey]; held && holder != in.Submission {
-		o.end(now, j, submitter.ReasonDuplicateRequest, "the request key is used by submission "+holder.String(), 0)
+	o.openJob(now, j, in)
+	o.addWaiter(now, j, w, in.Deadline)
+	if holder, held := o.keyHolders[in.RequestKey]; held && holder != in.Submission {
+		o.stopRetryAfter(now, j, submitter.ReasonDuplicateRequest, "the request key is used by submission "+holder.String(), 0)
 		return nil
 	}
-	o.holdKey(j)
+	o.reserveKey(j)
 	if lost {
 		o.answer(now, j, answerLost(in.Submission))
 		return nil
 	}
-	o.conclude(now, j)
+	o.answerIfDecided(now, j)
 	o.expireAtOnce(now, j)
 	if j.phase != phaseOpen {
 		return nil
@@ -163,8 +163,8 @@
 	return j.unsent()
 }
 
-// Started returns how many tasks of a submission are known to have been sent to
-// an agent or to have ended.
+// Started returns how many tasks of a submission were sent to an agent or have
+// ended, as far as this owner knows.
 func (o *Owner) Started(s identifier.Submission) int {
 	j := o.jobs.get(s)
 	if j == nil {
@@ -179,8 +179,8 @@
 	return n
 }
 
-// Released is a job without an answer that leaves this owner, with the requests
-// that wait for it and have its deadline.
+// Released is an open job that moves to another owner, with the requests that wait
+// for it. Its deadline is that of the requests.
 type Released struct {
 	Job     Job
 	Waiters []Waiter
--- a/internal/owner/rules.go
+++ b/internal/owner/rules.go
@@ -8,26 +8,26 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Rules are the decisions that at-most-once rests on, each as a seam. Tests
-// replace single rules to show what each is needed for.
+// Rules are the checks that at-most-once execution depends on. Each is a function
+// that tests replace on its own, to show which fault the check prevents.
 type Rules struct {
-	// Holds reports whether this entry holds the partition now. Only then may it
-	// answer not-run: another owner may have started the job otherwise.
+	// HoldsPartition reports whether this entry holds the partition now. Only then
+	// may it answer not-run; otherwise another owner may have started the job.
 	HoldsPartition func(p identifier.Partition) bool
-	// Proves reports whether a refusal proves that the task did not start.
+	// ProvesNotStarted reports whether a refusal proves that the task did not start.
 	ProvesNotStarted func(r messenger.Refusal) bool
-	// TooOld reports whether an id of the given age must be refused, because its
-	// record may be gone.
+	// TooOld reports whether an id of the given age must be refused, because the
+	// record of its job may have been evicted.
 	TooOld func(age, window time.Duration) bool
-	// KeepsNotRun reports whether a job answered with not-run is kept for the
-	// window like any other.
+	// KeepsNotRun reports whether a job answered with not-run is retained for the
+	// deduplication window like any other.
 	KeepsNotRun func() bool
-	// HoldsKey reports whether a submission holds its request key against others.
+	// HoldsKey reports whether a reserved request key is refused to other submissions.
 	HoldsKey func() bool
 }
 
-// DefaultRules returns the decisions that the system relies on. An entry that may
-// lose partitions replaces Holds.
+// DefaultRules returns the rules used in production. An entry that may lose
+// partitions replaces HoldsPartition.
 func DefaultRules() Rules {
 	return Rules{
 		HoldsPartition:   func(identifier.Partition) bool { return true },
@@ -38,14 +38,14 @@
 	}
 }
 
-// inadmissible returns the answer to a new submission that is not kept, or nil
-// if the submission is taken up. Since nothing is kept of it, the answer does not
-// say that none of its tasks starts later.
-func (o *Owner) inadmissible(now time.Time, in *Job) *messenger.Answer {
-	if now.After(o.latest) {
-		o.latest = now
+// rejection returns the answer to a new submission that is not recorded, or nil if
+// the submission becomes a job. Without a record, a later duplicate may be accepted,
+// so the outcome of the answer is unknown and not not-run.
+func (o *Owner) rejection(now time.Time, in *Job) *messenger.Answer {
+	if now.After(o.latestTime) {
+		o.latestTime = now
 	}
-	age := o.latest.Sub(in.Submission.Time())
+	age := o.latestTime.Sub(in.Submission.Time())
 	switch {
 	case o.Rules.TooOld(age, o.limits.Window):
 		return unknown(in.Submission, submitter.ReasonStale, "the submission id is older than "+o.limits.Window.String())
@@ -53,27 +53,28 @@
 		return unknown(in.Submission, submitter.ReasonFuture, "the submission id is further in the future than "+o.limits.MaxClockSkew.String())
 	case in.RequestKey != "" && identifier.KeyPartition(in.RequestKey) != in.Submission.Partition():
 		return unknown(in.Submission, submitter.ReasonConflictingRequest, "the submission id is not of the partition of its request key")
-	case o.bytes > o.limits.MaxRecordBytes+o.limits.MaxRecordBytes/8:
+	case o.recordBytes > o.limits.MaxRecordBytes+o.limits.MaxRecordBytes/8:
 		return unknown(in.Submission, submitter.ReasonMemoryLimit, "the entry keeps as many records as its memory limit allows")
 	}
 	return nil
 }
 
-// refusal returns the answer to a new submission that is kept but not run, or nil
-// if it may run. An eighth of the memory limit is for such records.
+// refusal returns the answer to a new submission that is recorded but not run, or
+// nil if it may run. An eighth of MaxRecordBytes, on top of that limit, is reserved
+// for such records.
 func (o *Owner) refusal(in *Job) *messenger.Answer {
-	holder, held := o.keys[in.RequestKey]
+	holder, held := o.keyHolders[in.RequestKey]
 	switch {
 	case held && o.Rules.HoldsKey():
 		return o.notRun(in.Submission, submitter.ReasonDuplicateRequest, "the request key is used by submission "+holder.String(), 0)
-	case o.bytes > o.limits.MaxRecordBytes:
+	case o.recordBytes > o.limits.MaxRecordBytes:
 		return o.notRun(in.Submission, submitter.ReasonMemoryLimit, "the entry keeps as many records as its memory limit allows", time.Second)
 	}
 	return nil
 }
 
-// notRun returns the answer that nothing ran and nothing will, or one that claims
-// nothing if this entry may not hold the partition.
+// notRun returns the answer that no task ran or will run. If this entry may not hold
+// the partition, the outcome of the answer is unknown.
 func (o *Owner) notRun(s identifier.Submission, reason submitter.Reason, detail string, retryAfter time.Duration) *messenger.Answer {
 	if !o.Rules.HoldsPartition(s.Partition()) {
 		return unknown(s, submitter.ReasonOwnerChanged, "the entry may have lost the partition of the submission: "+detail)
--- a/internal/owner/status.go
+++ b/internal/owner/status.go
@@ -10,28 +10,28 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Status is what an owner tells about one job.
+// Status is the state of one job as reported to operators.
 type Status struct {
 	Submission identifier.Submission
 	// Service and Team are empty for a job that is known from records only.
 	Service, Team string
 	State         submitter.State
-	// Tasks, Waiting, Sent and Done are the numbers of tasks of an open job: all,
-	// those that wait for a place, those at an agent, and those done.
+	// Tasks is the number of tasks of a job that has no answer. Waiting, Sent and
+	// Done count the tasks that wait to be scheduled, are at an agent, and are done.
 	Tasks, Waiting, Sent, Done int
-	// Answer is set exactly if the state is answered.
+	// Answer is set if and only if State is answered.
 	Answer *messenger.Answer
 }
 
-// Usage is what the jobs of one service and team amount to.
+// Usage counts the jobs and tasks of one service and team.
 type Usage struct {
 	Service, Team          string
 	OpenJobs, AnsweredJobs int
-	// WaitingTasks wait for a place; SentTasks are at an agent.
+	// WaitingTasks wait to be scheduled; SentTasks are at an agent.
 	WaitingTasks, SentTasks int
 }
 
-// Status returns the status of a job that is kept.
+// Status returns the status of a retained job.
 func (o *Owner) Status(s identifier.Submission) (Status, bool) {
 	j := o.jobs.get(s)
 	if j == nil {
@@ -43,9 +43,9 @@
 		Team:       j.spec.Team,
 		State:      submitter.State(j.phase),
 		Tasks:      len(j.tasks),
-		Waiting:    j.inState(taskWaiting),
-		Sent:       j.inState(taskSent),
-		Done:       j.inState(taskDone),
+		Waiting:    j.countInState(taskWaiting),
+		Sent:       j.countInState(taskSent),
+		Done:       j.countInState(taskDone),
 	}
 	if j.phase == phaseAnswered {
 		out.Answer = j.answer
@@ -71,8 +71,8 @@
 			continue
 		}
 		out[i].OpenJobs++
-		out[i].WaitingTasks += j.inState(taskWaiting)
-		out[i].SentTasks += j.inState(taskSent)
+		out[i].WaitingTasks += j.countInState(taskWaiting)
+		out[i].SentTasks += j.countInState(taskSent)
 	}
 	slices.SortFunc(out, func(a, b Usage) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Team, b.Team))
@@ -80,8 +80,8 @@
 	return out
 }
 
-// Open returns the open jobs of a service and a team in the order of their ids.
-// An empty name stands for all.
+// OpenJobs returns the open jobs of a service and a team in the order of their ids.
+// An empty name matches every service or team.
 func (o *Owner) OpenJobs(service, team string) []identifier.Submission {
 	var jobs []*job
 	for j := range o.jobs.all() {
@@ -97,25 +97,25 @@
 	return out
 }
 
-// CancelAny ends a job without an answer, whatever team it belongs to.
+// CancelAny cancels a job that has no answer yet, whatever team it belongs to.
 func (o *Owner) CancelAny(now time.Time, s identifier.Submission) {
 	if j := o.jobs.get(s); j != nil {
 		o.Cancel(now, s, j.spec.Team)
 	}
 }
 
-// FirstSend records that tasks of a job are sent. It returns how long the job
-// has waited for that, and false if tasks of it were sent before.
+// FirstSend records that tasks of a job are sent. It returns how long the job waited
+// for its first send, and false if tasks of it were sent before.
 func (o *Owner) FirstSend(now time.Time, s identifier.Submission) (time.Duration, bool) {
 	j := o.jobs.get(s)
-	if j == nil || j.firstSent {
+	if j == nil || j.anySent {
 		return 0, false
 	}
-	j.firstSent = true
-	return now.Sub(j.begun), true
+	j.anySent = true
+	return now.Sub(j.openedAt), true
 }
 
-func (j *job) inState(s taskState) int {
+func (j *job) countInState(s taskState) int {
 	n := 0
 	for i := range j.tasks {
 		if j.tasks[i].state == s {
