--- a/internal/recoverer/takeover.go
+++ b/internal/recoverer/takeover.go
@@ -9,19 +9,20 @@
 	"sardinelock.dev/sardinelock/internal/registrar"
 )
 
-// takeover is a set of partitions that were gained together.
+// takeover is the takeover of a set of partitions that the entry gained together.
 type takeover struct {
-	witnesses [][]messenger.Peer // witnesses has one or two sets; a majority of each is needed.
-	missing   []messenger.Peer   // missing has the agents whose records are not known, sorted.
-	unfenced  []messenger.Peer   // unfenced has the witnesses that have not answered, sorted.
-	fencedAt  time.Time          // fencedAt is when the majorities were complete; zero until then.
+	witnesses [][]messenger.Peer // witnesses holds one or two sets; a majority of each must answer.
+	missing   []messenger.Peer   // missing holds the agents whose records are not known, sorted.
+	unfenced  []messenger.Peer   // unfenced holds the witnesses that have not answered, sorted.
+	fencedAt  time.Time          // fencedAt is when a majority of each set had answered; zero until then.
 	active    bool
-	// pastBefore is set when the takeover becomes active.
-	pastBefore time.Time
+	// uncertainBefore is set when the takeover becomes active.
+	uncertainBefore time.Time
 }
 
-// BeginTakeover starts the tenure of partitions whose former owner is gone. The
-// roster is the one that the change of owner was conditional on.
+// BeginTakeover starts the ownership of partitions whose former owner has failed
+// or left without a handover. The roster is the one that the write of the new owner
+// was conditional on.
 func (r *Recoverer) BeginTakeover(now time.Time, partitions []messenger.PartitionEpoch, roster registrar.Roster) {
 	if len(partitions) == 0 {
 		return
@@ -36,27 +37,28 @@
 		t.missing = append(t.missing, m.Peer)
 	}
 	for _, d := range roster.Departed {
-		if d.Successor == "" { // The heir of another is a member or departed itself.
+		if d.Successor == "" { // A successor is itself a member or departed.
 			t.missing = append(t.missing, d.Peer)
 		}
 	}
 	t.missing = sorted(t.missing)
 	t.unfenced = sorted(slices.Concat(t.witnesses...))
 	for _, p := range partitions {
-		r.tenures[p.Partition] = tenure{phase: PhaseFencing, epoch: p.Epoch, takeover: t}
+		r.terms[p.Partition] = ownershipTerm{phase: PhaseFencing, epoch: p.Epoch, takeover: t}
 	}
-	r.open = append(r.open, t)
+	r.pending = append(r.pending, t)
 	r.advance(now, t)
 }
 
-// SetDeclared replaces the agents that an operator has declared dead. No takeover
-// waits for what they say.
-func (r *Recoverer) SetDeclaredDead(agents []messenger.Peer) { r.declared = agents }
+// SetDeclaredDead replaces the agents that an operator has declared dead. A takeover
+// does not wait for their answers as witnesses.
+func (r *Recoverer) SetDeclaredDead(agents []messenger.Peer) { r.declaredDead = agents }
 
-// Fencing returns the witnesses that a partition in phase fencing waits for: one
-// of them at least must answer or be declared dead. It is nil in other phases.
+// UnfencedWitnesses returns the witnesses that a partition in phase fencing waits
+// for: at least one of them must answer or be declared dead. It is nil in other
+// phases.
 func (r *Recoverer) UnfencedWitnesses(p identifier.Partition) []messenger.Peer {
-	t := &r.tenures[p]
+	t := &r.terms[p]
 	if t.phase != PhaseFencing || t.takeover == nil {
 		return nil
 	}
@@ -70,17 +72,18 @@
 	return slices.Compact(out)
 }
 
-// Missing reports whether the records of an agent are awaited.
+// AwaitsRecords reports whether a takeover waits for an agent's records or for its
+// answer as a witness.
 func (r *Recoverer) AwaitsRecords(agent messenger.Peer) bool {
-	return slices.ContainsFunc(r.open, func(t *takeover) bool {
+	return slices.ContainsFunc(r.pending, func(t *takeover) bool {
 		_, missing := slices.BinarySearch(t.missing, agent)
 		_, unfenced := slices.BinarySearch(t.unfenced, agent)
 		return missing || unfenced
 	})
 }
 
-// Fenced applies an agent's answer to the epochs that it was sent together. An
-// agent has answered for a takeover once one answer covers all its partitions.
+// Fenced applies an agent's answer to a fence. The agent counts as having answered
+// for a takeover once a single answer covers all partitions of the takeover.
 func (r *Recoverer) Fenced(now time.Time, agent messenger.Peer, answer []messenger.Fenced) {
 	if !r.AwaitsRecords(agent) {
 		return
@@ -89,7 +92,7 @@
 	for i := range answer {
 		answered[answer[i].Partition] = true
 	}
-	for _, t := range r.open {
+	for _, t := range r.pending {
 		if !r.covers(t, &answered) {
 			continue
 		}
@@ -101,25 +104,25 @@
 
 // covers reports whether every partition of the takeover is marked.
 func (r *Recoverer) covers(t *takeover, marked *[identifier.Partitions]bool) bool {
-	for p := range r.tenures {
-		if r.tenures[p].takeover == t && !marked[p] {
+	for p := range r.terms {
+		if r.terms[p].takeover == t && !marked[p] {
 			return false
 		}
 	}
 	return true
 }
 
-// inUse reports whether a partition of the takeover is still owned.
-func (r *Recoverer) inUse(t *takeover) bool {
-	for p := range r.tenures {
-		if r.tenures[p].takeover == t {
+// hasPartitions reports whether the entry still owns a partition of the takeover.
+func (r *Recoverer) hasPartitions(t *takeover) bool {
+	for p := range r.terms {
+		if r.terms[p].takeover == t {
 			return true
 		}
 	}
 	return false
 }
 
-// advance moves a takeover to its next phase as far as it may go.
+// advance moves a takeover through all phases whose conditions are met.
 func (r *Recoverer) advance(now time.Time, t *takeover) {
 	if t.active {
 		return
@@ -132,29 +135,30 @@
 		return
 	}
 	t.active = true
-	// Each of two clocks may be off: that of the caller who made the id against
-	// the former owner's, and the former owner's against this entry's.
-	t.pastBefore = now.Add(2 * r.limits.MaxClockSkew)
+	// Twice the clock skew, because it adds up: the clock of the caller that made the
+	// id may differ from the former owner's, and that one from this entry's.
+	t.uncertainBefore = now.Add(2 * r.limits.MaxClockSkew)
 	r.setPhase(t, PhaseActive)
-	for p := range r.tenures {
-		if r.tenures[p].takeover == t {
-			r.tenures[p].activeSince = now
+	for p := range r.terms {
+		if r.terms[p].takeover == t {
+			r.terms[p].activeSince = now
 		}
 	}
 }
 
 func (r *Recoverer) setPhase(t *takeover, phase Phase) {
-	for p := range r.tenures {
-		if r.tenures[p].takeover == t {
-			r.tenures[p].phase = phase
+	for p := range r.terms {
+		if r.terms[p].takeover == t {
+			r.terms[p].phase = phase
 		}
 	}
 }
 
-// hasMajorities reports whether no former owner can have the lease much longer: of
-// each set of witnesses a majority has answered, or all that are not declared dead.
-// All of these and not most of them: a former owner then has a majority only if a
-// majority of the whole set was declared dead and lives.
+// hasMajorities reports whether no former owner can renew its lease any more: in each
+// set of witnesses, a majority has answered, or all that are not declared dead have.
+// A majority of those not declared dead would not suffice. With all of them, a former
+// owner has a majority only if a majority of the whole set was declared dead while
+// alive.
 func (r *Recoverer) hasMajorities(t *takeover) bool {
 	for _, set := range t.witnesses {
 		// A region without witnesses never had an agent that could start anything.
@@ -182,19 +186,19 @@
 	var out []messenger.Peer
 	for _, w := range set {
 		_, unfenced := slices.BinarySearch(t.unfenced, w)
-		if _, dead := slices.BinarySearch(r.declared, w); unfenced && !dead {
+		if _, dead := slices.BinarySearch(r.declaredDead, w); unfenced && !dead {
 			out = append(out, w)
 		}
 	}
 	return out
 }
 
-// done reports whether nothing is left to wait for.
-func (r *Recoverer) done(now time.Time, t *takeover) bool {
-	if !r.inUse(t) {
+// isComplete reports whether the takeover waits for nothing more.
+func (r *Recoverer) isComplete(now time.Time, t *takeover) bool {
+	if !r.hasPartitions(t) {
 		return true
 	}
-	return t.active && (len(t.missing) == 0 || now.Sub(t.pastBefore) > r.limits.Window)
+	return t.active && (len(t.missing) == 0 || now.Sub(t.uncertainBefore) > r.limits.Window)
 }
 
 // sorted returns the peers in order, each once.
