--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -1,16 +1,17 @@
-// Package registrar keeps an entry's view of the rows that entries share in the
+// Package registrar maintains an entry's view of the rows that entries share in the
 // platform's table, and makes the writes that change them.
 //
 // There are three kinds of rows: one for each entry, one for each partition with
-// its owner and epoch, and one for each region with the roster of its agents. The
-// registrar polls them cheaply: a read of a key that has no row is answered with
-// the table's revision alone, and the rows are read only when it has moved. Since
-// every write of the table moves the revision, an answer with the known one proves
-// that all rows are as they are known. It has at most one write under way
-// and reads the rows again after each, so that whoever proposes a write decides
-// on rows that are current. A write whose outcome is unknown is resolved by that
-// reading alone. The package does no I/O: calls are asked for in the output and
-// their outcomes come in as events.
+// its owner and epoch, and one for each region with the roster of its agents. To
+// poll cheaply, the registrar reads a key that has no row; the answer is only the
+// table's revision. It reads the rows when the revision has changed. Since every
+// write to the table changes the revision, an unchanged revision proves that all
+// known rows are current.
+//
+// At most one write is in flight, and the rows are read again after each write, so
+// that every proposed write is based on current rows. This read alone also resolves
+// a write whose outcome is unknown. The package does no I/O: it requests calls in
+// its output, and their outcomes are passed in as events.
 package registrar
 
 import (
@@ -26,42 +27,43 @@
 
 // Limits are the settings of a registrar.
 type Limits struct {
-	// PollEvery is the period at which the table is looked at.
+	// PollInterval is the interval at which the table's revision is read.
 	PollInterval time.Duration
-	// RetryEvery is the pause after a read that failed.
+	// RetryInterval is the interval between reads while they fail.
 	RetryInterval time.Duration
 }
 
-// Rules has the checks that the safety of ownership rests on. Tests replace
+// Rules holds the checks that the safety of ownership depends on. Tests replace
 // them one at a time to show that each is needed.
 type Rules struct {
-	// TrustUnknownWrite reports whether a write without an answer may be taken
-	// as applied. It may not: only the rows tell.
+	// TrustUnknownWrite reports whether a write without an answer counts as applied.
+	// In production it does not: only a read of the rows shows the outcome.
 	TrustUnknownWrite func() bool
 }
 
-// DefaultRules returns the rules of production.
+// DefaultRules returns the rules used in production.
 func DefaultRules() Rules {
 	return Rules{TrustUnknownWrite: func() bool { return false }}
 }
 
-// Read asks for the rows below a prefix.
+// Read requests the rows whose keys have a prefix.
 type Read struct {
 	ID     uint64
 	Prefix string
 }
 
-// Write asks for a transaction.
+// Write requests a transaction.
 type Write struct {
 	ID          uint64
 	Transaction storer.Transaction
 }
 
-// Output is what the entry has to do.
+// Output holds the calls that the entry must make.
 type Output struct {
 	Reads  []Read
 	Writes []Write
-	// Changed says that some row differs from what was known before.
+	// Changed is set if the rows were read at another revision than before; any of
+	// them may differ.
 	Changed bool
 }
 
@@ -71,23 +73,26 @@
 	limits Limits
 	rules  Rules
 
-	nextID   uint64
-	reading  map[uint64]string
-	writing  uint64             // writing is the write under way; 0 if there is none.
-	pending  storer.Transaction // pending is the transaction of the write under way.
-	stale    bool               // stale means that a write ended and the rows were not read since.
-	endedAt  uint64             // endedAt is the last id given out when the latest write ended.
-	polledAt time.Time
-	readAt   time.Time // readAt is when the latest successful read was asked for.
-	failing  bool      // failing means that the latest call had no answer.
-
-	revision       uint64 // revision is that of the table when all rows were read.
-	hint           uint64 // hint is the highest table revision that any source mentioned.
-	entries        []Entry
-	entryRevisions map[messenger.Peer]uint64
-	partitions     [identifier.Partitions]Partition
-	rosters        []RegionRoster
-	// RequestID is the seam that names transactions.
+	nextID       uint64
+	readPrefixes map[uint64]string
+	writeID      uint64             // writeID is the id of the write in flight; 0 if there is none.
+	pending      storer.Transaction // pending is the transaction of the write in flight.
+	// needsRead is set from the end of a write until a later read of all rows.
+	needsRead bool
+	// lastIDBeforeRead is the last id in use when the latest write ended; only a read
+	// with a later id clears needsRead.
+	lastIDBeforeRead uint64
+	polledAt         time.Time
+	readAt           time.Time // readAt is when the latest successful read was requested.
+	unreachable      bool      // unreachable is set while the latest call has failed.
+
+	revision        uint64 // revision is the table's revision at which all rows were last read.
+	highestRevision uint64 // highestRevision is the highest table revision seen from any source.
+	entries         []Entry
+	entryRevisions  map[messenger.Peer]uint64
+	partitions      [identifier.Partitions]Partition
+	rosters         []RegionRoster
+	// RequestID returns the id of a new transaction. Tests may replace it.
 	RequestID func() string
 	out       Output
 }
@@ -98,27 +103,27 @@
 		self:           self,
 		limits:         limits,
 		rules:          rules,
-		reading:        make(map[uint64]string),
+		readPrefixes:   make(map[uint64]string),
 		entryRevisions: make(map[messenger.Peer]uint64),
 		RequestID:      storer.NewRequestID,
 	}
 }
 
-// Known reports whether the rows were read at least once.
+// Loaded reports whether the rows were read at least once.
 func (r *Registrar) Loaded() bool { return !r.readAt.IsZero() }
 
-// Reachable reports whether the latest call of the platform had an answer.
-func (r *Registrar) Reachable() bool { return r.Loaded() && !r.failing }
+// Reachable reports whether the latest call to the platform succeeded.
+func (r *Registrar) Reachable() bool { return r.Loaded() && !r.unreachable }
 
 // ReadAt returns when the rows were last known to be current.
 func (r *Registrar) ReadAt() time.Time { return r.readAt }
 
-// Revision returns the revision of the rows that are known.
+// Revision returns the table's revision of the known rows.
 func (r *Registrar) Revision() uint64 { return r.revision }
 
-// Idle reports whether a write may be proposed: the rows are known, none is
-// under way, and the rows were read after the last one.
-func (r *Registrar) Idle() bool { return r.Loaded() && r.writing == 0 && !r.stale }
+// Idle reports whether a write may be proposed: the rows are known, no write is in
+// flight, and the rows were read after the last write.
+func (r *Registrar) Idle() bool { return r.Loaded() && r.writeID == 0 && !r.needsRead }
 
 // Entries returns the entries in the order of their names.
 func (r *Registrar) Entries() []Entry { return r.entries }
@@ -134,7 +139,7 @@
 	return r.entries[i], true
 }
 
-// EntryCondition requires an entry's row to be as it is known.
+// EntryCondition requires that an entry's row has not changed since it was read.
 func (r *Registrar) EntryCondition(peer messenger.Peer) storer.Condition {
 	return storer.Condition{Key: EntryKey(peer), Revision: r.entryRevisions[peer]}
 }
@@ -154,54 +159,55 @@
 }
 
 // Hint applies a table revision that another process has seen. If it is newer
-// than the rows, they are read at once.
+// than the known rows, they are read immediately.
 func (r *Registrar) Hint(now time.Time, revision uint64) {
-	r.hint = max(r.hint, revision)
-	if r.hint > r.revision && len(r.reading) == 0 && r.Loaded() {
+	r.highestRevision = max(r.highestRevision, revision)
+	if r.highestRevision > r.revision && len(r.readPrefixes) == 0 && r.Loaded() {
 		r.readAll(now)
 	}
 }
 
-// Tick asks for the rows at each period.
+// Tick requests a read once the poll interval, or the retry interval after a failure,
+// has passed.
 func (r *Registrar) Tick(now time.Time) {
 	period := r.limits.PollInterval
-	if r.failing {
+	if r.unreachable {
 		period = r.limits.RetryInterval
 	}
-	if len(r.reading) > 0 || (!r.polledAt.IsZero() && now.Sub(r.polledAt) < period) {
+	if len(r.readPrefixes) > 0 || (!r.polledAt.IsZero() && now.Sub(r.polledAt) < period) {
 		return
 	}
-	if !r.Loaded() || r.stale {
+	if !r.Loaded() || r.needsRead {
 		r.readAll(now)
 		return
 	}
 	r.read(now, revisionKey)
 }
 
-// Propose asks for a write. It must be called only while the registrar is idle.
+// Propose requests a write. It must be called only while the registrar is idle.
 func (r *Registrar) Propose(t storer.Transaction) {
 	r.nextID++
-	r.writing = r.nextID
+	r.writeID = r.nextID
 	r.pending = t
 	t.RequestID = r.RequestID()
-	r.out.Writes = append(r.out.Writes, Write{ID: r.writing, Transaction: t})
+	r.out.Writes = append(r.out.Writes, Write{ID: r.writeID, Transaction: t})
 }
 
 // StoreRead applies the outcome of a read.
 func (r *Registrar) StoreRead(now time.Time, id uint64, rows storer.Range, err error) {
-	prefix, ok := r.reading[id]
-	delete(r.reading, id)
+	prefix, ok := r.readPrefixes[id]
+	delete(r.readPrefixes, id)
 	if !ok {
 		return
 	}
-	r.failing = err != nil
+	r.unreachable = err != nil
 	if err != nil || rows.Revision < r.revision {
 		return
 	}
 	switch prefix {
 	case allPrefix:
-		if id > r.endedAt {
-			r.stale = false
+		if id > r.lastIDBeforeRead {
+			r.needsRead = false
 		}
 		r.applyAll(rows)
 		r.readAt = r.polledAt
@@ -216,25 +222,25 @@
 
 // StoreWritten applies the outcome of a write.
 func (r *Registrar) StoreWritten(now time.Time, id uint64, o storer.Outcome, err error) {
-	if id != r.writing {
+	if id != r.writeID {
 		return
 	}
-	r.writing = 0
-	r.stale = true
-	r.endedAt = r.nextID
-	r.failing = err != nil
+	r.writeID = 0
+	r.needsRead = true
+	r.lastIDBeforeRead = r.nextID
+	r.unreachable = err != nil
 	if err != nil && r.rules.TrustUnknownWrite() {
 		r.applyPuts(r.pending)
-		r.stale = false
+		r.needsRead = false
 		return
 	}
-	r.hint = max(r.hint, o.Revision)
+	r.highestRevision = max(r.highestRevision, o.Revision)
 	if err == nil {
 		r.readAll(now)
 	}
 }
 
-// Take returns what is to be done and clears it.
+// Take returns the requested calls and clears them.
 func (r *Registrar) Take() Output {
 	out := r.out
 	r.out = Output{}
@@ -246,17 +252,17 @@
 func (r *Registrar) read(now time.Time, prefix string) {
 	r.polledAt = now
 	r.nextID++
-	r.reading[r.nextID] = prefix
+	r.readPrefixes[r.nextID] = prefix
 	r.out.Reads = append(r.out.Reads, Read{ID: r.nextID, Prefix: prefix})
 }
 
-// applyAll replaces the rows by those that were read together.
+// applyAll replaces the known rows by the result of one read.
 func (r *Registrar) applyAll(rows storer.Range) {
 	if rows.Revision == r.revision && r.Loaded() {
 		return
 	}
 	r.revision = rows.Revision
-	r.hint = max(r.hint, rows.Revision)
+	r.highestRevision = max(r.highestRevision, rows.Revision)
 	r.entries = r.entries[:0]
 	r.rosters = r.rosters[:0]
 	clear(r.entryRevisions)
@@ -266,8 +272,8 @@
 	r.out.Changed = true
 }
 
-// applyRow applies one row. Rows that cannot be read are left out: what they say
-// is then unknown, which lets nobody start anything.
+// applyRow applies one row. A row that cannot be decoded is skipped. This is safe: an
+// entry starts no tasks because of a row that it does not know.
 func (r *Registrar) applyRow(row storer.Row) {
 	switch {
 	case strings.HasPrefix(row.Key, entryPrefix):
@@ -292,7 +298,7 @@
 	}
 }
 
-// applyPuts takes a transaction as applied without having seen the rows.
+// applyPuts applies a transaction to the known rows without reading them.
 func (r *Registrar) applyPuts(t storer.Transaction) {
 	for _, put := range t.Puts {
 		r.applyRow(storer.Row{Key: put.Key, Value: put.Value, Revision: r.revision})
--- a/internal/registrar/row.go
+++ b/internal/registrar/row.go
@@ -14,17 +14,17 @@
 	"sardinelock.dev/sardinelock/internal/storer"
 )
 
-// The prefixes of the shared rows.
+// The key prefixes of the shared rows.
 const (
 	allPrefix       = "cluster/"
 	entryPrefix     = "cluster/entries/"
 	partitionPrefix = "cluster/partitions/"
 	rosterPrefix    = RosterPrefix
-	// revisionKey has no row: a read of it asks for the table's revision alone.
+	// revisionKey has no row; a read of it returns only the table's revision.
 	revisionKey = "cluster/revision"
 )
 
-// RosterPrefix is the prefix of the rows of rosters.
+// RosterPrefix is the key prefix of the roster rows.
 const RosterPrefix = "cluster/roster/"
 
 // Entry is the row of an entry.
@@ -33,25 +33,25 @@
 	Region     string         `json:"region"`
 	DataCentre string         `json:"data-centre"`
 	PeerAddr   netip.AddrPort `json:"peer-address"`
-	// Draining means that the entry takes no partitions.
+	// Draining is set while the entry must not own partitions.
 	Draining bool `json:"draining,omitempty"`
-	// Roster is the version of the region's roster that the entry relies on.
+	// RosterVersion is the version of the region's roster that the entry uses.
 	RosterVersion uint64 `json:"roster"`
-	// Recovering means that the entry has taken partitions over and that their
-	// former owners may not be fenced yet.
+	// Recovering is set while the entry has taken over partitions whose former
+	// owners may not be fenced yet.
 	Recovering bool `json:"recovering,omitempty"`
 }
 
 // Ownership is the value of a partition's row.
 type Ownership struct {
-	// Owner is the entry that owns the partition; empty if nobody ever did.
+	// Owner is the entry that owns the partition; empty if it never had an owner.
 	Owner messenger.Peer `json:"owner"`
-	// Epoch grows by one with every change of owner.
+	// Epoch increases by one with every change of owner.
 	Epoch uint64 `json:"epoch"`
-	// Region is that of every owner of the partition.
+	// Region is the region of the partition and of all its owners.
 	Region string `json:"region"`
-	// Handover names the handover that made this row, if one did. The new owner
-	// has the former owner's records then and nothing is uncertain.
+	// Handover identifies the handover that wrote this row; empty after a takeover.
+	// After a handover, the new owner has the former owner's records.
 	Handover string `json:"handover,omitempty"`
 }
 
@@ -63,22 +63,22 @@
 
 // Roster is the value of a region's row of agents.
 type Roster struct {
-	// Version grows by one with every change.
+	// Version increases by one with every change.
 	Version uint64 `json:"version"`
 	// Members are the agents that may be given tasks, sorted by name.
 	Members []Member `json:"members"`
-	// Departed are agents that were members and whose records may still matter.
+	// Departed are former members whose records may still be needed.
 	Departed []Departed `json:"departed,omitempty"`
-	// Witnesses are the members whose majority a lease rests on, sorted.
+	// Witnesses are the members of which a majority must confirm a lease, sorted.
 	Witnesses []messenger.Peer `json:"witnesses"`
-	// Previous are the witnesses that some entry may still rely on, sorted; empty
-	// once every entry relies on Witnesses.
+	// PreviousWitnesses are the former witnesses that some entry may still use,
+	// sorted; empty once every entry uses Witnesses.
 	PreviousWitnesses []messenger.Peer `json:"previous,omitempty"`
 	// WitnessVersion is the version at which Witnesses last changed.
 	WitnessVersion uint64 `json:"witness-version"`
 }
 
-// Member is an agent of the roster.
+// Member is an agent in the roster.
 type Member struct {
 	Peer       messenger.Peer `json:"peer"`
 	DataCentre string         `json:"data-centre"`
@@ -88,21 +88,21 @@
 // Departed is an agent that left the roster.
 type Departed struct {
 	Peer messenger.Peer `json:"peer"`
-	// Version is that of the first roster without the agent.
+	// Version is the version of the first roster without the agent.
 	Version uint64 `json:"version"`
-	// SettledAt is the wall-clock time at which every entry was seen to rely on
-	// Version or a later one; zero while some entry may still use the agent.
+	// SettledAt is the wall-clock time at which every entry was seen to use Version
+	// or a later one; zero while some entry may still use the agent.
 	SettledAt time.Time `json:"settled-at,omitzero"`
 	// DeclaredAt is the wall-clock time at which an operator declared the agent
-	// dead; zero for one that left by itself. Such an agent is never a member again.
+	// dead; zero otherwise. A declared agent never becomes a member again.
 	DeclaredAt time.Time `json:"declared-at,omitzero"`
-	// Heir is the agent that has the records, if the agent left in good order. Such
-	// an agent is never a member again.
+	// Successor is the agent that received the records, if this agent transferred
+	// them before it left. Such an agent never becomes a member again.
 	Successor messenger.Peer `json:"heir,omitempty"`
 }
 
-// gone reports whether the agent can be no member any more.
-func (d *Departed) gone() bool { return !d.DeclaredAt.IsZero() || d.Successor != "" }
+// isRemoved reports whether the agent can never become a member again.
+func (d *Departed) isRemoved() bool { return !d.DeclaredAt.IsZero() || d.Successor != "" }
 
 // RegionRoster is a region's roster with the revision of its row.
 type RegionRoster struct {
@@ -121,7 +121,7 @@
 	return false
 }
 
-// Declared returns the agents that an operator has declared dead, sorted.
+// DeclaredDead returns the agents that an operator has declared dead, sorted.
 func (r *Roster) DeclaredDead() []messenger.Peer {
 	var out []messenger.Peer
 	for i := range r.Departed {
@@ -133,12 +133,14 @@
 	return out
 }
 
-// IsGone reports whether the agent has departed for good.
+// IsRemoved reports whether the agent has departed and can never become a member
+// again.
 func (r *Roster) IsRemoved(peer messenger.Peer) bool {
-	return slices.ContainsFunc(r.Departed, func(d Departed) bool { return d.Peer == peer && d.gone() })
+	return slices.ContainsFunc(r.Departed, func(d Departed) bool { return d.Peer == peer && d.isRemoved() })
 }
 
-// Heir returns the agent that has the records of a departed one; empty if none has.
+// Successor returns the agent that received the records of a departed one; empty if
+// there is none.
 func (r *Roster) Successor(peer messenger.Peer) messenger.Peer {
 	for i := range r.Departed {
 		if r.Departed[i].Peer == peer {
@@ -148,12 +150,12 @@
 	return ""
 }
 
-// IsWitness reports whether a lease may rest on the agent.
+// IsWitness reports whether the agent is a present or previous witness.
 func (r *Roster) IsWitness(peer messenger.Peer) bool {
 	return slices.Contains(r.Witnesses, peer) || slices.Contains(r.PreviousWitnesses, peer)
 }
 
-// EntryPut returns the write of an entry's row.
+// EntryPut returns the put of an entry's row.
 func EntryPut(e Entry) storer.Put {
 	return storer.Put{Key: EntryKey(e.Peer), Value: encode(e)}
 }
@@ -161,23 +163,24 @@
 // EntryKey returns the key of an entry's row.
 func EntryKey(peer messenger.Peer) string { return entryPrefix + string(peer) }
 
-// PartitionPut returns the write of a partition's row.
+// PartitionPut returns the put of a partition's row.
 func PartitionPut(p identifier.Partition, o Ownership) storer.Put {
 	return storer.Put{Key: partitionKey(p), Value: encode(o)}
 }
 
-// PartitionCondition requires a partition's row to be as it is known.
+// PartitionCondition requires that a partition's row has not changed since it was
+// read.
 func PartitionCondition(p identifier.Partition, known Partition) storer.Condition {
 	return storer.Condition{Key: partitionKey(p), Revision: known.Revision}
 }
 
-// RosterPut returns the write of a region's roster.
+// RosterPut returns the put of a region's roster row.
 func RosterPut(region string, r Roster) storer.Put {
 	return storer.Put{Key: rosterPrefix + region, Value: encode(r)}
 }
 
-// ReadRosters reads the rows below [RosterPrefix]. Rows that cannot be read are
-// left out.
+// ReadRosters decodes the rows whose keys have [RosterPrefix]. Rows that cannot be
+// decoded are skipped.
 func ReadRosters(rows storer.Range) []RegionRoster {
 	var out []RegionRoster
 	for _, row := range rows.Rows {
@@ -194,7 +197,8 @@
 	return roster, err == nil
 }
 
-// RosterCondition requires a region's roster to be as it is known.
+// RosterCondition requires that a region's roster row has not changed since it was
+// read.
 func RosterCondition(known RegionRoster) storer.Condition {
 	return storer.Condition{Key: rosterPrefix + known.Region, Revision: known.Revision}
 }
