--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -1,10 +1,11 @@
 // Package claimer decides which entry should own which partition.
 //
-// Every entry computes the same wanted owner of a partition from the set of live
-// entries, by rendezvous hashing, so that a change of the set moves few
-// partitions. An entry claims those partitions that it should own and whose owner
-// is gone, and hands over those that another entry should own. Views may differ
-// for a while; the conditional write of the partition's row decides.
+// Every entry computes the preferred owner of a partition from the set of live
+// entries by rendezvous hashing, so that a change of the set moves few partitions.
+// An entry claims the partitions of which it is the preferred owner and whose owner
+// is not live, and hands over the partitions that have another preferred owner.
+// Entries may temporarily disagree about the set of live entries; the conditional
+// write of the partition's row decides then.
 package claimer
 
 import (
@@ -16,8 +17,8 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// Home returns the region that a partition belongs to. The list of regions is the
-// same in the settings of every process and does not change.
+// HomeRegion returns the region that a partition belongs to. The list of regions must
+// be the same in the settings of every process and must not change.
 func HomeRegion(p identifier.Partition, regions []string) string {
 	if len(regions) == 0 {
 		return ""
@@ -25,31 +26,31 @@
 	return regions[int(p)%len(regions)]
 }
 
-// Want returns the entry among the live ones that should own the partition, or
-// "" if there is none. The order of the live entries does not matter.
+// PreferredOwner returns the live entry that should own the partition, or "" if no
+// entry is live. The order of the live entries does not matter.
 func PreferredOwner(p identifier.Partition, live []messenger.Peer) messenger.Peer {
 	var best messenger.Peer
 	var bestScore uint64
 	for _, peer := range live {
-		score := score(p, peer)
-		if best == "" || score > bestScore || (score == bestScore && peer < best) {
-			best, bestScore = peer, score
+		s := ownerScore(p, peer)
+		if best == "" || s > bestScore || (s == bestScore && peer < best) {
+			best, bestScore = peer, s
 		}
 	}
 	return best
 }
 
-// Wanted remembers the wanted owners of the latest set of live entries. The zero
-// value is ready.
+// PreferredOwners caches the preferred owners for the latest set of live entries. The
+// zero value is ready to use.
 type PreferredOwners struct {
-	live   []messenger.Peer
-	owners [identifier.Partitions]messenger.Peer
+	cachedFor []messenger.Peer
+	owners    [identifier.Partitions]messenger.Peer
 }
 
-// Owner returns [Want] of the partition. The live entries must be sorted.
+// Owner returns [PreferredOwner] of the partition. The live entries must be sorted.
 func (w *PreferredOwners) Owner(p identifier.Partition, live []messenger.Peer) messenger.Peer {
-	if !slices.Equal(w.live, live) {
-		w.live = slices.Clone(live)
+	if !slices.Equal(w.cachedFor, live) {
+		w.cachedFor = slices.Clone(live)
 		for p := range identifier.Partition(identifier.Partitions) {
 			w.owners[p] = PreferredOwner(p, live)
 		}
@@ -57,10 +58,10 @@
 	return w.owners[p]
 }
 
-func score(p identifier.Partition, peer messenger.Peer) uint64 {
+func ownerScore(p identifier.Partition, peer messenger.Peer) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	// A digest's writes never fail.
+	// Writes to an xxhash.Digest never fail.
 	_, _ = d.WriteString(string(peer))
 	_, _ = d.Write([]byte{byte(p >> 8), byte(p)})
 	return d.Sum64()
--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -14,9 +14,9 @@
 // TestMain fixes the seed of the random tests.
 func TestMain(m *testing.M) { seeder.Main(m) }
 
-// TestWantedFollowsLive checks that what is remembered is what Want says, through
-// changes of the live entries.
-func TestWantedFollowsLive(t *testing.T) {
+// TestPreferredOwnersFollowLive checks that the cached owners equal those of
+// PreferredOwner while the live entries change.
+func TestPreferredOwnersFollowLive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w PreferredOwners
 		for range 5 {
