--- a/internal/identifier/error.go
+++ b/internal/identifier/error.go
@@ -1,6 +1,6 @@
 package identifier
 
-// Kind says what is wrong with an id.
+// Kind classifies what is wrong with an id.
 type Kind string
 
 // The kinds of errors of this package.
@@ -13,7 +13,7 @@
 type Error struct {
 	Op     string // Op is the operation that failed.
 	Kind   Kind   // Kind is one of the Kind constants.
-	Detail string // Detail says what was found, in plain words.
+	Detail string // Detail describes the fault.
 }
 
 // Error implements error.
--- a/internal/identifier/fuzz_test.go
+++ b/internal/identifier/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzParse checks that no text makes the parser panic, and that what it accepts
-// is a canonical id of a known partition which survives both of its forms.
+// FuzzParse checks that no text makes the parser panic, and that every accepted text
+// is a canonical id, in a valid partition, that round-trips through its text form.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{
 		"01a23f86-4d4d-7b39-a540-3aaf28009530",
@@ -23,7 +23,7 @@
 		id, err := Parse(text)
 		if err != nil {
 			if !id.IsZero() {
-				t.Errorf("%q: an id and an error: %v", text, err)
+				t.Errorf("%q: Parse returned both an id and an error: %v", text, err)
 			}
 			return
 		}
@@ -35,7 +35,7 @@
 		}
 		var again Submission
 		if err := again.UnmarshalText([]byte(id.String())); err != nil || again != id {
-			t.Errorf("%q: read again as %v, %v", text, again, err)
+			t.Errorf("%q: the text form is parsed as %v, %v", text, again, err)
 		}
 	})
 }
--- a/internal/identifier/generator.go
+++ b/internal/identifier/generator.go
@@ -9,18 +9,18 @@
 	"github.com/google/uuid"
 )
 
-// Maker makes submission ids from a source of random bits. Makers with equal
-// sources make equal ids, so that what depends on an id can be repeated.
+// Generator generates submission ids from a source of random bits. Generators with
+// equal sources generate equal ids, so that tests that depend on ids are reproducible.
 type Generator struct {
-	// Random gives the random bits. It never fails: an id that is not random
-	// could be another caller's.
+	// Random is the source of random bits. An id that is not random could collide with
+	// another caller's, so generating an id panics if Random fails.
 	Random io.Reader
 }
 
-// secure makes the ids of callers, which nobody can foresee.
-var secure = Generator{Random: rand.Reader}
+// secureGenerator generates the ids of callers, which must not be predictable.
+var secureGenerator = Generator{Random: rand.Reader}
 
-// New returns an id made at the given wall-clock time.
+// New returns an id generated at the given wall-clock time.
 func (m Generator) New(now time.Time) Submission {
 	id := uuid.Must(uuid.NewRandomFromReader(m.Random))
 	millis := uint64(now.UnixMilli())
@@ -31,10 +31,10 @@
 	return Submission(id)
 }
 
-// NewIn is the function [NewIn] with the random bits of the maker.
+// NewIn is like the function [NewIn] but uses the random bits of the generator.
 func (m Generator) NewIn(now time.Time, accept func(Partition) bool) (Submission, bool) {
-	const tries = 16 * Partitions
-	for range tries {
+	const attempts = 16 * Partitions
+	for range attempts {
 		id := m.New(now)
 		if accept(id.Partition()) {
 			return id, true
@@ -43,7 +43,8 @@
 	return Submission{}, false
 }
 
-// NewForKey is the function [NewForKey] with the random bits of the maker.
+// NewForKey is like the function [NewForKey] but uses the random bits of the
+// generator.
 func (m Generator) NewForKey(now time.Time, key string) (Submission, bool) {
 	if key == "" {
 		return m.New(now), true
--- a/internal/identifier/identifier.go
+++ b/internal/identifier/identifier.go
@@ -1,9 +1,9 @@
-// Package identifier makes and reads submission ids and maps them to partitions.
+// Package identifier generates and parses submission ids and maps them to partitions.
 //
 // A submission id is a UUID of version 7: its first 48 bits are the Unix time in
-// milliseconds at which the caller made it, the rest is random. The hash of the
-// whole id names one of a fixed number of partitions, and each partition has one
-// owner at a time. Nothing else in the system gives an id its partition.
+// milliseconds at which the caller generated it, the rest is random. The hash of the
+// whole id alone determines its partition. The number of partitions is fixed, and
+// each partition has one owner at a time.
 package identifier
 
 import (
@@ -15,7 +15,7 @@
 )
 
 // Partitions is the number of partitions of the submission-id space. It is part
-// of the stored format: changing it moves every id to another partition.
+// of the stored format: a change would map ids to other partitions.
 const Partitions = 256
 
 // Partition is the index of a partition, from 0 to Partitions-1.
@@ -24,23 +24,25 @@
 // Submission is a submission id in its binary form.
 type Submission uuid.UUID
 
-// New returns an id made at the given wall-clock time.
-func New(now time.Time) Submission { return secure.New(now) }
+// New returns an id generated at the given wall-clock time.
+func New(now time.Time) Submission { return secureGenerator.New(now) }
 
-// NewIn returns an id made at the given time that falls into a partition which
-// accept allows. It returns false if no id was found in a bounded number of
-// tries, as when accept allows nothing.
+// NewIn returns an id generated at the given time whose partition accept allows. It
+// returns false if a bounded number of attempts found no such id, for example because
+// accept allows no partition.
 func NewIn(now time.Time, accept func(Partition) bool) (Submission, bool) {
-	return secure.NewIn(now, accept)
+	return secureGenerator.NewIn(now, accept)
 }
 
-// NewForKey returns an id made at the given time for a submission with a request
+// NewForKey returns an id generated at the given time for a submission with a request
 // key. An empty key allows any partition.
-func NewForKey(now time.Time, key string) (Submission, bool) { return secure.NewForKey(now, key) }
+func NewForKey(now time.Time, key string) (Submission, bool) {
+	return secureGenerator.NewForKey(now, key)
+}
 
-// Parse reads the canonical text form of an id. It returns an error of kind
-// [KindMalformed] if the text is no UUID and [KindVersion] if it is a UUID of
-// another version.
+// Parse parses the canonical text form of an id. It returns an error of kind
+// [KindMalformed] if the text is not a UUID, and of kind [KindVersion] if it is a
+// UUID of another version.
 func Parse(text string) (Submission, error) {
 	const op = "parse"
 	if len(text) != 36 {
@@ -72,14 +74,14 @@
 	return nil
 }
 
-// Time returns the wall-clock time at which the id was made, to the millisecond.
+// Time returns the wall-clock time at which the id was generated, in milliseconds.
 func (s Submission) Time() time.Time {
 	var stamp [8]byte
 	copy(stamp[2:], s[:6])
 	return time.UnixMilli(int64(binary.BigEndian.Uint64(stamp[:])))
 }
 
-// Partition returns the partition that the id falls into.
+// Partition returns the partition of the id.
 func (s Submission) Partition() Partition {
 	return Partition(xxhash.Sum64(s[:]) % Partitions)
 }
@@ -90,8 +92,8 @@
 // IsZero reports whether the id is unset.
 func (s Submission) IsZero() bool { return s == Submission{} }
 
-// KeyPartition returns the partition that a request key falls into. A submission
-// with a request key must fall into the same one, so that one owner decides both.
+// KeyPartition returns the partition of a request key. The id of a submission with a
+// request key must have the same partition, so that one owner decides both.
 func KeyPartition(key string) Partition {
 	return Partition(xxhash.Sum64String(key) % Partitions)
 }
