--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -32,9 +32,9 @@
 	var best messenger.Peer
 	var bestScore uint64
 	for _, peer := range live {
-		s := ownerScore(p, peer)
-		if best == "" || s > bestScore || (s == bestScore && peer < best) {
-			best, bestScore = peer, s
+		score := ownerScore(p, peer)
+		if best == "" || score > bestScore || (score == bestScore && peer < best) {
+			best, bestScore = peer, score
 		}
 	}
 	return best
@@ -48,14 +48,14 @@
 }
 
 // Owner returns [PreferredOwner] of the partition. The live entries must be sorted.
-func (w *PreferredOwners) Owner(p identifier.Partition, live []messenger.Peer) messenger.Peer {
-	if !slices.Equal(w.cachedFor, live) {
-		w.cachedFor = slices.Clone(live)
+func (o *PreferredOwners) Owner(p identifier.Partition, live []messenger.Peer) messenger.Peer {
+	if !slices.Equal(o.cachedFor, live) {
+		o.cachedFor = slices.Clone(live)
 		for p := range identifier.Partition(identifier.Partitions) {
-			w.owners[p] = PreferredOwner(p, live)
+			o.owners[p] = PreferredOwner(p, live)
 		}
 	}
-	return w.owners[p]
+	return o.owners[p]
 }
 
 func ownerScore(p identifier.Partition, peer messenger.Peer) uint64 {
--- a/internal/owner/handover.go
+++ b/internal/owner/handover.go
@@ -50,7 +50,7 @@
 	return out
 }
 
-// released returns one item per waiting request, because each has its own deadline.
+// splitByWaiter returns one item per waiting request, because each has its own deadline.
 func splitByWaiter(j *job) []Released {
 	var out []Released
 	for _, w := range j.waiters {
--- a/internal/owner/recover.go
+++ b/internal/owner/recover.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// resume opens a recovered job with its specification and returns the tasks that
+// resumeRecovered opens a recovered job with its specification and returns the tasks that
 // no agent has started.
 func (o *Owner) resumeRecovered(now time.Time, j *job, w Waiter, in Job) []uint16 {
 	if len(j.tasks) > len(in.Tasks) {
--- a/internal/recoverer/takeover.go
+++ b/internal/recoverer/takeover.go
@@ -64,8 +64,8 @@
 	}
 	var out []messenger.Peer
 	for _, set := range t.takeover.witnesses {
-		if r.answered(t.takeover, set) < r.rules.Majority(len(set)) {
-			out = append(out, r.awaited(t.takeover, set)...)
+		if r.answeredCount(t.takeover, set) < r.rules.Majority(len(set)) {
+			out = append(out, r.awaitedWitnesses(t.takeover, set)...)
 		}
 	}
 	slices.Sort(out)
@@ -162,15 +162,15 @@
 func (r *Recoverer) hasMajorities(t *takeover) bool {
 	for _, set := range t.witnesses {
 		// A region without witnesses never had an agent that could start anything.
-		if len(set) > 0 && r.answered(t, set) < r.rules.Majority(len(set)) && len(r.awaited(t, set)) > 0 {
+		if len(set) > 0 && r.answeredCount(t, set) < r.rules.Majority(len(set)) && len(r.awaitedWitnesses(t, set)) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// answered returns how many witnesses of a set have acknowledged the epoch.
-func (r *Recoverer) answered(t *takeover, set []messenger.Peer) int {
+// answeredCount returns how many witnesses of a set have acknowledged the epoch.
+func (r *Recoverer) answeredCount(t *takeover, set []messenger.Peer) int {
 	n := 0
 	for _, w := range set {
 		if _, unfenced := slices.BinarySearch(t.unfenced, w); !unfenced {
@@ -180,9 +180,9 @@
 	return n
 }
 
-// awaited returns the witnesses of a set that have not answered and are not
+// awaitedWitnesses returns the witnesses of a set that have not answered and are not
 // declared dead.
-func (r *Recoverer) awaited(t *takeover, set []messenger.Peer) []messenger.Peer {
+func (r *Recoverer) awaitedWitnesses(t *takeover, set []messenger.Peer) []messenger.Peer {
 	var out []messenger.Peer
 	for _, w := range set {
 		_, unfenced := slices.BinarySearch(t.unfenced, w)
