--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -32,12 +32,12 @@
 const (
 	// tickEvery is the period at which waiting jobs and silent agents are looked at:
 	// a fraction of the shortest objective.
-	tickEvery = 20 * time.Millisecond
-	dialEvery = 100 * time.Millisecond
+	tickInterval = 20 * time.Millisecond
+	dialInterval = 100 * time.Millisecond
 	// summaryEvery is the period of the line that sums up the load.
-	summaryEvery = 2 * time.Second
+	loadLogInterval = 2 * time.Second
 	// routesEvery is the period at which agents and entries hear of all entries.
-	routesEvery = 2 * time.Second
+	routesInterval = 2 * time.Second
 )
 
 // Settings are the settings of a broker.
@@ -55,29 +55,29 @@
 
 // Broker is a running entry.
 type Broker struct {
-	settings Settings
-	peer     messenger.Peer
-	loop     *controller.Loop
-	timers   *timer.Service
-	listener net.Listener
-	server   *http.Server
-	links    *linker.Linker
-	counts   connector.Counts
-	shelf    cataloguer.Store
-	tickets  atomic.Uint64
-	serving  atomic.Bool
-	draining atomic.Bool // draining means that the process shuts down.
-	meter    *meter.Meter
+	settings  Settings
+	peer      messenger.Peer
+	loop      *controller.Loop
+	timers    *timer.Service
+	listener  net.Listener
+	server    *http.Server
+	links     *linker.Linker
+	counts    connector.Counts
+	catalogue cataloguer.Store
+	tickets   atomic.Uint64
+	serving   atomic.Bool
+	draining  atomic.Bool // draining means that the process shuts down.
+	meter     *meter.Meter
 
 	// The fields below belong to the control thread.
-	assigner *assigner.Assigner
-	agents   map[messenger.Peer]*connector.Conn
-	entries  map[messenger.Peer]*connector.Conn
-	waiters  map[uint64]chan<- assigner.Answer
-	document []byte // document is the catalogue in force, as peers read it.
-	routedAt time.Time
+	assigner     *assigner.Assigner
+	agents       map[messenger.Peer]*connector.Conn
+	entries      map[messenger.Peer]*connector.Conn
+	waiters      map[uint64]chan<- assigner.Answer
+	document     []byte // document is the catalogue in force, as peers read it.
+	routesSentAt time.Time
 	// offeredAt is when a source last showed the catalogue in force.
-	offeredAt time.Time
+	confirmedAt time.Time
 
 	background context.Context
 	stop       context.CancelFunc
@@ -103,15 +103,15 @@
 	b.background, b.stop = context.WithCancel(context.Background())
 	b.loop = controller.NewOnClock(timer.NewBootTimeClock(), b.flush)
 	identity := meter.Identity{Role: string(messenger.RoleEntry), Peer: string(b.peer), Region: s.Region, DataCentre: s.DataCentre}
-	if b.meter, err = meter.New(identity, meter.Sources{Traffic: &b.counts, Busy: b.loop.Busy, Entry: b.state}); err != nil {
+	if b.meter, err = meter.New(identity, meter.Sources{Traffic: &b.counts, Busy: b.loop.Busy, Entry: b.entryState}); err != nil {
 		_ = l.Close()
 		return nil, err
 	}
 	options := connector.Options{Hello: b.hello, Counts: &b.counts}
 	b.links = linker.New(b.background, b.loop, options, linker.Hooks{
-		Up: b.up, Receive: b.receive, Down: b.down, DialFailed: b.unreached,
+		Up: b.addConn, Receive: b.receive, Down: b.removeConn, DialFailed: b.dialFailed,
 	})
-	b.links.Add(true, b.others(s.Entries)...)
+	b.links.Add(true, b.dialTargets(s.Entries)...)
 	mux := http.NewServeMux()
 	mux.HandleFunc(connector.Path, func(w http.ResponseWriter, r *http.Request) {
 		conn, err := connector.Accept(w, r, options)
@@ -130,14 +130,14 @@
 
 // others returns the addresses that this entry dials: of two entries, the one with
 // the lower address dials.
-func (b *Broker) others(addrs []netip.AddrPort) []netip.AddrPort {
-	var others []netip.AddrPort
+func (b *Broker) dialTargets(addrs []netip.AddrPort) []netip.AddrPort {
+	var targets []netip.AddrPort
 	for _, a := range addrs {
 		if b.settings.PeerListen.Compare(a) < 0 {
-			others = append(others, a)
+			targets = append(targets, a)
 		}
 	}
-	return others
+	return targets
 }
 
 // Run serves until the context ends.
@@ -148,9 +148,9 @@
 	g.Add(b.serve, func(error) { _ = b.server.Close() })
 	end, cancel := context.WithCancel(ctx)
 	g.Add(func() error { <-end.Done(); return nil }, func(error) { cancel() })
-	b.timers.Subscribe(tickEvery, func(time.Time) { b.loop.Post(func(time.Time) {}) })
-	b.timers.Subscribe(dialEvery, func(time.Time) { b.loop.Post(b.links.DialDue) })
-	b.timers.Subscribe(summaryEvery, func(time.Time) { b.loop.Post(b.summarize) })
+	b.timers.Subscribe(tickInterval, func(time.Time) { b.loop.Post(func(time.Time) {}) })
+	b.timers.Subscribe(dialInterval, func(time.Time) { b.loop.Post(b.links.DialDue) })
+	b.timers.Subscribe(loadLogInterval, func(time.Time) { b.loop.Post(b.logLoad) })
 	err := g.Run()
 	b.stop()
 	b.timers.Stop()
@@ -171,7 +171,7 @@
 func (b *Broker) Meter() *meter.Meter { return b.meter }
 
 // state returns what the metrics show of the entry.
-func (b *Broker) state() (s meter.EntryState) {
+func (b *Broker) entryState() (s meter.EntryState) {
 	b.loop.Call(func(now time.Time) {
 		s.OpenJobs, s.QueuedTasks = b.assigner.Counts()
 		s.KeptJobs = s.OpenJobs
@@ -183,8 +183,8 @@
 			{State: string(messenger.RoleEntry), Count: len(b.entries)},
 		}
 		s.ConfigVersion, s.ConfigAge = b.version(), -1
-		if !b.offeredAt.IsZero() {
-			s.ConfigAge = now.Sub(b.offeredAt)
+		if !b.confirmedAt.IsZero() {
+			s.ConfigAge = now.Sub(b.confirmedAt)
 		}
 	})
 	return s
@@ -193,11 +193,11 @@
 // Ready reports whether jobs can be served, now and for a while: the queues are known,
 // and an upstream, and the entry does not drain.
 func (b *Broker) Ready() bool {
-	return b.serving.Load() && !b.draining.Load() && b.shelf.InForce() != nil
+	return b.serving.Load() && !b.draining.Load() && b.catalogue.InForce() != nil
 }
 
 // Catalogue returns the queues in force, or nil if none are known yet.
-func (b *Broker) Catalogue() *cataloguer.Catalogue { return b.shelf.InForce() }
+func (b *Broker) Catalogue() *cataloguer.Catalogue { return b.catalogue.InForce() }
 
 // Submit runs a job and waits for its answer, at most until the caller's context ends.
 func (b *Broker) Submit(ctx context.Context, j assigner.Job) (assigner.Answer, error) {
@@ -256,12 +256,12 @@
 
 // Learn takes peer addresses of entries, from wherever they are known.
 func (b *Broker) AddEntries(entries []netip.AddrPort) {
-	b.loop.Post(func(time.Time) { b.links.Add(false, b.others(entries)...) })
+	b.loop.Post(func(time.Time) { b.links.Add(false, b.dialTargets(entries)...) })
 }
 
 // Offer takes a catalogue that the platform has shown.
 func (b *Broker) Offer(c *cataloguer.Catalogue) {
-	b.loop.Post(func(now time.Time) { b.offer(now, c, "platform") })
+	b.loop.Post(func(now time.Time) { b.applyCatalogue(now, c, "platform") })
 }
 
 // flush carries out what was decided. It runs on the control thread.
@@ -269,10 +269,10 @@
 	out := b.assigner.Advance(b.loop.Elapsed(now))
 	b.serving.Store(b.assigner.Serving(b.loop.Elapsed(now)))
 	for _, d := range out.Decisions {
-		b.log(d)
+		b.logDecision(d)
 	}
 	for _, a := range out.Answers {
-		b.answer(a)
+		b.deliverAnswer(a)
 	}
 	for _, s := range out.Sends {
 		if conn := b.agents[s.To]; conn != nil {
@@ -285,10 +285,10 @@
 			conn.Close()
 		}
 	}
-	b.route(now)
+	b.sendRoutes(now)
 }
 
-func (b *Broker) answer(a assigner.Answer) {
+func (b *Broker) deliverAnswer(a assigner.Answer) {
 	b.meter.Answered(a.Queue, string(a.Outcome), a.Reason, a.Took)
 	if a.Launched {
 		b.meter.Started(a.Queue, a.Waited)
@@ -302,7 +302,7 @@
 	}
 }
 
-func (b *Broker) summarize(time.Time) {
+func (b *Broker) logLoad(time.Time) {
 	jobs, pending := b.assigner.Counts()
 	capacity, used := b.assigner.Resources()
 	b.settings.Journal.Line("load").Int("jobs", jobs).Int("pending", pending).
@@ -311,7 +311,7 @@
 		Uint64("lines-left-out", b.settings.Journal.Omitted()).Msg("")
 }
 
-func (b *Broker) log(d assigner.Decision) {
+func (b *Broker) logDecision(d assigner.Decision) {
 	e := b.settings.Journal.Line(d.Event)
 	if d.Task.Job != "" {
 		e = e.Str("job", d.Task.Job).Int("step", d.Task.Step).Int("task", d.Task.Index).Uint64("run", d.Run)
--- a/internal/broker/drain.go
+++ b/internal/broker/drain.go
@@ -5,12 +5,12 @@
 const (
 	// closeBefore is how long before the end of the grace period nothing new is accepted:
 	// the longest objective. giveUpBefore is when what is left is answered.
-	closeBefore  = 2500 * time.Millisecond
-	giveUpBefore = 700 * time.Millisecond
+	stopAdmittingBefore   = 2500 * time.Millisecond
+	failOutstandingBefore = 700 * time.Millisecond
 	// drainPoll is the period at which a draining entry looks at what is left.
-	drainPoll = 20 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 	// flushPause is how long a drained entry keeps connections for the last answers.
-	flushPause = 100 * time.Millisecond
+	finalFlushDelay = 100 * time.Millisecond
 )
 
 // Drain serves on until the balancer, which needs a time to notice, sends nothing more
@@ -19,18 +19,18 @@
 func (b *Broker) Drain(grace, notice time.Duration) {
 	b.settings.Journal.Line("draining").Msg("")
 	b.draining.Store(true)
-	begun := time.Now()
+	start := time.Now()
 	closed := false
-	for time.Since(begun) < grace-giveUpBefore {
-		time.Sleep(drainPoll)
-		if !closed && time.Since(begun) >= grace-closeBefore {
+	for time.Since(start) < grace-failOutstandingBefore {
+		time.Sleep(drainPollInterval)
+		if !closed && time.Since(start) >= grace-stopAdmittingBefore {
 			b.StopAdmitting()
 			closed = true
 		}
-		if time.Since(begun) >= notice && b.Outstanding() == 0 {
+		if time.Since(start) >= notice && b.Outstanding() == 0 {
 			break
 		}
 	}
 	b.AbandonAll()
-	time.Sleep(flushPause)
+	time.Sleep(finalFlushDelay)
 }
--- a/internal/broker/peers.go
+++ b/internal/broker/peers.go
@@ -23,14 +23,14 @@
 }
 
 func (b *Broker) version() uint64 {
-	if c := b.shelf.InForce(); c != nil {
+	if c := b.catalogue.InForce(); c != nil {
 		return c.Version
 	}
 	return 0
 }
 
 // up takes a connection on the control thread.
-func (b *Broker) up(now time.Time, c *connector.Conn) bool {
+func (b *Broker) addConn(now time.Time, c *connector.Conn) bool {
 	h := c.Hello()
 	switch h.Role {
 	case messenger.RoleAgent:
@@ -39,7 +39,7 @@
 		}
 		b.agents[h.Peer] = c
 		b.assigner.AgentUp(b.loop.Elapsed(now), h.Peer, h.Instance, h.DataCentre)
-		b.routedAt = time.Time{}
+		b.routesSentAt = time.Time{}
 	case messenger.RoleEntry:
 		if h.Peer == b.peer {
 			return false
@@ -50,11 +50,11 @@
 		b.entries[h.Peer] = c
 		b.assigner.SetEntries(len(b.entries) + 1)
 		b.settings.Journal.Line("entry-connected").Str("peer", string(h.Peer)).Msg("")
-		b.links.Add(false, b.others([]netip.AddrPort{h.PeerAddr})...)
+		b.links.Add(false, b.dialTargets([]netip.AddrPort{h.PeerAddr})...)
 		if h.ConfigVersion < b.version() {
 			c.Send(b.configFrame())
 		}
-		b.routedAt = time.Time{}
+		b.routesSentAt = time.Time{}
 	default:
 		return false
 	}
@@ -70,7 +70,7 @@
 		return
 	}
 	if f.Routes != nil {
-		b.links.Add(false, b.others(addresses(f.Routes))...)
+		b.links.Add(false, b.dialTargets(addresses(f.Routes))...)
 	}
 	if f.Config != nil && f.Config.Document != nil {
 		catalogue, err := cataloguer.Decode(f.Config.Document)
@@ -78,11 +78,11 @@
 			b.settings.Journal.Line("catalogue-unreadable").Str("peer", string(h.Peer)).Err(err).Msg("")
 			return
 		}
-		b.offer(now, catalogue, string(h.Peer))
+		b.applyCatalogue(now, catalogue, string(h.Peer))
 	}
 }
 
-func (b *Broker) down(now time.Time, c *connector.Conn, cause error) {
+func (b *Broker) removeConn(now time.Time, c *connector.Conn, cause error) {
 	h := c.Hello()
 	switch {
 	case b.agents[h.Peer] == c:
@@ -95,17 +95,17 @@
 	}
 }
 
-func (b *Broker) unreached(addr netip.AddrPort, err error) {
+func (b *Broker) dialFailed(addr netip.AddrPort, err error) {
 	b.settings.Journal.Line("entry-not-reached").Str("address", addr.String()).Err(err).Msg("")
 }
 
 // offer puts a catalogue in force if it is newer, and tells the other entries: the
 // platform may turn some of them away.
-func (b *Broker) offer(now time.Time, c *cataloguer.Catalogue, source string) {
+func (b *Broker) applyCatalogue(now time.Time, c *cataloguer.Catalogue, source string) {
 	if c.Version >= b.version() {
-		b.offeredAt = now
+		b.confirmedAt = now
 	}
-	if !b.shelf.Offer(c) {
+	if !b.catalogue.Offer(c) {
 		return
 	}
 	b.settings.Journal.Line("config-in-force").Uint64("config-version", c.Version).Str("source", source).Msg("")
@@ -125,11 +125,11 @@
 }
 
 // route tells agents and entries of all connected entries now and then.
-func (b *Broker) route(now time.Time) {
-	if now.Sub(b.routedAt) < routesEvery {
+func (b *Broker) sendRoutes(now time.Time) {
+	if now.Sub(b.routesSentAt) < routesInterval {
 		return
 	}
-	b.routedAt = now
+	b.routesSentAt = now
 	r := &messenger.Routes{Entries: []messenger.EntryAddr{{Peer: b.peer, Addr: b.settings.PeerListen}}}
 	for peer, c := range b.entries {
 		r.Entries = append(r.Entries, messenger.EntryAddr{Peer: peer, Addr: c.Hello().PeerAddr})
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -16,9 +16,9 @@
 
 const (
 	// queueEvents bounds the events that wait; a poster blocks beyond it.
-	queueEvents = 8192
+	queueCapacity = 8192
 	// batchEvents bounds the events that are applied before a flush.
-	batchEvents = 512
+	maxBatchEvents = 512
 )
 
 // Event is applied on the control thread.
@@ -29,10 +29,10 @@
 	clock  timer.Clock
 	events chan Event
 	// flush is called on the control thread after each batch of events.
-	flush func(now time.Time)
-	done  chan struct{}
-	busy  atomic.Int64 // busy is the time spent on batches, in nanoseconds.
-	count atomic.Uint64
+	flush   func(now time.Time)
+	done    chan struct{}
+	busy    atomic.Int64 // busy is the time spent on batches, in nanoseconds.
+	applied atomic.Uint64
 }
 
 // New returns a loop that calls flush after each batch. Run starts it.
@@ -42,7 +42,7 @@
 func NewOnClock(clock timer.Clock, flush func(now time.Time)) *Loop {
 	return &Loop{
 		clock:  clock,
-		events: make(chan Event, queueEvents),
+		events: make(chan Event, queueCapacity),
 		flush:  flush,
 		done:   make(chan struct{}),
 	}
@@ -60,7 +60,7 @@
 // Busy returns the time that the control thread has spent on its events, and how
 // many it has applied.
 func (l *Loop) Busy() (time.Duration, uint64) {
-	return time.Duration(l.busy.Load()), l.count.Load()
+	return time.Duration(l.busy.Load()), l.applied.Load()
 }
 
 // Post hands an event to the control thread. It blocks while the queue is full
@@ -109,10 +109,10 @@
 func (l *Loop) applyBatch(first Event) {
 	// The time is read for each event and for the flush: a process may be paused
 	// between any two of them, and what holds a lease must see that.
-	begun := l.Now()
-	first(begun)
+	start := l.Now()
+	first(start)
 	applied := uint64(1)
-	for range batchEvents - 1 {
+	for range maxBatchEvents - 1 {
 		select {
 		case e := <-l.events:
 			e(l.Now())
@@ -123,6 +123,6 @@
 		break
 	}
 	l.flush(l.Now())
-	l.busy.Add(int64(l.Now().Sub(begun)))
-	l.count.Add(applied)
+	l.busy.Add(int64(l.Now().Sub(start)))
+	l.applied.Add(applied)
 }
--- a/internal/dispatcher/admin.go
+++ b/internal/dispatcher/admin.go
@@ -55,8 +55,8 @@
 // subscribeAdministration starts what administration does periodically.
 func (e *Entry) subscribeAdministration() {
 	e.watchCertificates()
-	e.timers.Subscribe(holdsPollEvery, func(time.Time) { _ = e.readHolds(e.background) })
-	e.timers.Subscribe(snapshotEvery, func(time.Time) { e.keepBurn(e.background) })
+	e.timers.Subscribe(holdsPollInterval, func(time.Time) { _ = e.readHolds(e.background) })
+	e.timers.Subscribe(snapshotInterval, func(time.Time) { e.storeBurn(e.background) })
 	go func() {
 		_ = e.readHolds(e.background)
 		e.loadBurn(e.background)
--- a/internal/dispatcher/auth.go
+++ b/internal/dispatcher/auth.go
@@ -20,9 +20,9 @@
 // error is logged and the tokens of the version before stay in force.
 func (e *Entry) tokens() *authenticator.Set {
 	config := e.config.Read()
-	known := e.auth.Read()
-	if known != nil && known.config == config {
-		return known.tokens
+	cached := e.auth.Read()
+	if cached != nil && cached.config == config {
+		return cached.tokens
 	}
 	if config == nil {
 		return nil
@@ -30,10 +30,10 @@
 	set, err := authenticator.New(configCredentials(config))
 	if err != nil {
 		e.settings.Logger.Error().Err(err).Msg("the tokens of the configuration cannot be read")
-		if known == nil {
+		if cached == nil {
 			return nil
 		}
-		set = known.tokens
+		set = cached.tokens
 	}
 	e.auth.Publish(&credentials{config: config, tokens: set})
 	return set
--- a/internal/dispatcher/burn.go
+++ b/internal/dispatcher/burn.go
@@ -13,7 +13,7 @@
 )
 
 // snapshotEvery is the period at which the counts go to the object store.
-const snapshotEvery = time.Minute
+const snapshotInterval = time.Minute
 
 // burnCounts has what this entry has answered.
 type burnCounts struct {
@@ -28,7 +28,7 @@
 func newBurnCounts() *burnCounts { return &burnCounts{recorder: reporter.New()} }
 
 // recordBurn counts an answer to a caller.
-func (e *Entry) recordBurn(service string, a *messenger.Answer, took time.Duration) {
+func (e *Entry) recordBurn(service string, a *messenger.Answer, duration time.Duration) {
 	event := reporter.Event{
 		Service: service,
 		Outcome: submitter.Outcome(a.Outcome),
@@ -36,7 +36,7 @@
 	}
 	if c := e.config.Read(); c != nil {
 		if s, ok := c.Service(service); ok {
-			event.Slow = took > s.Objective.Latency
+			event.Slow = duration > s.Objective.Latency
 		}
 	}
 	for _, o := range reporter.Objectives() {
@@ -70,7 +70,7 @@
 
 // keepBurn loads the predecessor's snapshot if that is still to be done, and
 // writes this entry's.
-func (e *Entry) keepBurn(ctx context.Context) {
+func (e *Entry) storeBurn(ctx context.Context) {
 	if !e.loadBurn(ctx) {
 		return
 	}
@@ -93,22 +93,22 @@
 		return true
 	}
 	text, err := e.platform.Object(ctx, administrator.SnapshotPrefix+e.instance())
-	var before *reporter.Snapshot
+	var predecessor *reporter.Snapshot
 	switch storer.KindOf(err) {
 	case "":
-		if before, err = reporter.Decode(text); err != nil {
+		if predecessor, err = reporter.Decode(text); err != nil {
 			e.settings.Logger.Error().Err(err).Msg("the predecessor's counts of the burn report cannot be read and are given up")
-			before = new(reporter.Snapshot)
+			predecessor = new(reporter.Snapshot)
 		}
 	case storer.KindAbsent:
-		before = new(reporter.Snapshot)
+		predecessor = new(reporter.Snapshot)
 	default:
 		return false
 	}
 	e.burn.mu.Lock()
 	defer e.burn.mu.Unlock()
 	if !e.burn.loaded {
-		e.burn.recorder.Load(time.Now(), before)
+		e.burn.recorder.Load(time.Now(), predecessor)
 		e.burn.loaded = true
 	}
 	return true
--- a/internal/dispatcher/caller.go
+++ b/internal/dispatcher/caller.go
@@ -25,13 +25,13 @@
 	mux.HandleFunc("POST /v1/services/{service}/jobs", e.serveSubmit)
 	mux.HandleFunc("GET /v1/jobs/{submission}", e.serveJob)
 	mux.HandleFunc("DELETE /v1/jobs/{submission}", e.serveCancelJob)
-	return e.closingWhileStopping(mux)
+	return e.closeConnectionsWhileStopping(mux)
 }
 
 // closingWhileStopping ends each connection with its answer while the entry shuts
 // down, so that a caller's next request goes to another entry and does not meet a
 // connection that is just being closed.
-func (e *Entry) closingWhileStopping(h http.Handler) http.Handler {
+func (e *Entry) closeConnectionsWhileStopping(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.stopping.Load() {
 			w.Header().Set("Connection", "close")
@@ -42,7 +42,7 @@
 
 // serveSubmit takes a job and answers with its outcome.
 func (e *Entry) serveSubmit(w http.ResponseWriter, r *http.Request) {
-	begun := time.Now()
+	start := time.Now()
 	request, problem := e.readJob(w, r)
 	if problem != nil {
 		writeProblem(w, problem)
@@ -62,7 +62,7 @@
 	}
 	select {
 	case answer := <-reply:
-		e.answered(request.Job.Service, answer, time.Since(begun))
+		e.recordAnswer(request.Job.Service, answer, time.Since(start))
 		writeAnswer(w, answer)
 	case <-r.Context().Done():
 		e.loop.Post(func(now time.Time) {
--- a/internal/dispatcher/config.go
+++ b/internal/dispatcher/config.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	configTickEvery = 100 * time.Millisecond
+	configTickInterval = 100 * time.Millisecond
 	// configCallTimeout bounds a read of the configuration, so that the next one
 	// is not long in coming while the platform is slow.
 	configCallTimeout = 2 * time.Second
 	// seedEvery and seedSpread give the period at which an entry without a
 	// configuration dials the entries of its settings. The period differs between
 	// entries, so that two do not dial each other at the same time for ever.
-	seedEvery  = 500 * time.Millisecond
-	seedSpread = time.Second
+	seedDialInterval = 500 * time.Millisecond
+	seedDialJitter   = time.Second
 )
 
 var errNoDocument = errors.New("the table has no such version")
@@ -73,7 +73,7 @@
 }
 
 // take notes a prepared version before the applier is told of it.
-func (s *configState) take(p *preparedVersion) {
+func (s *configState) addPrepared(p *preparedVersion) {
 	if p == nil {
 		return
 	}
@@ -84,7 +84,7 @@
 }
 
 // enter makes a prepared version the one in force and drops those below.
-func (s *configState) enter(number uint64) {
+func (s *configState) activate(number uint64) {
 	var later []*preparedVersion
 	for _, p := range s.prepared {
 		if p.number == number && p.err == nil {
@@ -103,13 +103,13 @@
 
 // subscribeConfig starts what learns of versions.
 func (e *Entry) subscribeConfig() {
-	e.timers.Subscribe(configTickEvery, func(time.Time) {
+	e.timers.Subscribe(configTickInterval, func(time.Time) {
 		e.loop.Post(func(now time.Time) { e.versions.applier.Tick(now) })
 	})
 	if len(e.settings.Entries) > 0 {
-		spread := time.Duration(xxhash.Sum64String(string(e.settings.Peer)) % uint64(seedSpread))
+		spread := time.Duration(xxhash.Sum64String(string(e.settings.Peer)) % uint64(seedDialJitter))
 		seeds := make(map[netip.AddrPort]messenger.Peer)
-		e.timers.Subscribe(seedEvery+spread, func(time.Time) { e.dialSeeds(seeds) })
+		e.timers.Subscribe(seedDialInterval+spread, func(time.Time) { e.dialSeeds(seeds) })
 	}
 }
 
@@ -117,7 +117,7 @@
 func (e *Entry) flushConfig(now time.Time) {
 	out := e.versions.applier.Take(now)
 	if out.InForce != nil {
-		e.enforce(out.InForce.Number)
+		e.activateConfig(out.InForce.Number)
 	}
 	for _, s := range out.Sends {
 		e.sendConfig(s)
@@ -131,14 +131,14 @@
 }
 
 // enforce puts a version in force. It runs on the control thread.
-func (e *Entry) enforce(number uint64) {
-	e.versions.enter(number)
+func (e *Entry) activateConfig(number uint64) {
+	e.versions.activate(number)
 	config := e.versions.inForce.composed.Site(e.settings.DataCentre)
 	for _, s := range config.Services {
 		e.coordinator.SetPath(s.Name, s.Path)
 	}
 	e.coordinator.SetTeams(teamQuotas(config))
-	e.coordinator.SetPlacementLimits(placing(config))
+	e.coordinator.SetPlacementLimits(placementLimits(config))
 	e.config.Publish(config)
 	e.configVersion.Store(number)
 	e.settings.Logger.Info().Str("event", "config-in-force").Uint64("version", number).
@@ -147,7 +147,7 @@
 
 // placing returns the limits of the placement. The tables of the configuration
 // have a value for each of them.
-func placing(c *configurer.Config) placer.Limits {
+func placementLimits(c *configurer.Config) placer.Limits {
 	return placer.Limits{
 		MaxQueued:       c.Queue.MaxTasks,
 		Ageing:          c.Queue.Ageing,
@@ -200,7 +200,7 @@
 		p = prepare(m.Document)
 	}
 	e.loop.Post(func(now time.Time) {
-		e.versions.take(p)
+		e.versions.addPrepared(p)
 		e.versions.applier.Receive(now, from.Peer, m)
 	})
 }
@@ -230,7 +230,7 @@
 			e.versions.applier.DocumentRead(now, nil, err)
 			return
 		}
-		e.versions.take(p)
+		e.versions.addPrepared(p)
 		e.versions.applier.DocumentRead(now, p.text, nil)
 	})
 }
@@ -258,7 +258,7 @@
 	if e.config.Read() != nil {
 		return
 	}
-	connected := e.connectedOf(slices.Collect(maps.Values(seeds)))
+	connected := e.connectedPeers(slices.Collect(maps.Values(seeds)))
 	for _, addr := range e.settings.Entries {
 		if addr == e.PeerAddr() || connected[seeds[addr]] {
 			continue
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -57,10 +57,10 @@
 }
 
 const (
-	tickEvery = 10 * time.Millisecond
-	dialEvery = 250 * time.Millisecond
+	tickInterval = 10 * time.Millisecond
+	dialInterval = 250 * time.Millisecond
 	// clockEvery is how often a wall clock that was stepped is reported; chosen.
-	clockEvery = time.Minute
+	clockCheckInterval = time.Minute
 )
 
 // Entry is a running entry.
@@ -156,7 +156,7 @@
 	var g run.Group
 	loopCtx, stopLoop := context.WithCancel(context.Background())
 	g.Add(func() error { return e.loop.Run(loopCtx) }, func(error) { stopLoop() })
-	e.callerServer = e.addServer(&g, e.secure(e.caller, false), e.measured(e.callerHandler()))
+	e.callerServer = e.addServer(&g, e.secure(e.caller, false), e.withMetrics(e.callerHandler()))
 	e.otherServers = []*http.Server{
 		e.addServer(&g, e.secure(e.peer, true), e.peerHandler()),
 		e.addServer(&g, e.secure(e.admin, false), e.adminHandler()),
@@ -188,22 +188,22 @@
 }
 
 func (e *Entry) subscribe() {
-	e.timers.Subscribe(tickEvery, func(time.Time) {
+	e.timers.Subscribe(tickInterval, func(time.Time) {
 		e.loop.Post(func(now time.Time) { e.coordinator.Tick(now) })
 	})
-	e.timers.Subscribe(dialEvery, func(time.Time) { e.dialEntries() })
-	e.timers.Subscribe(clockEvery, func(time.Time) { e.reportClock() })
+	e.timers.Subscribe(dialInterval, func(time.Time) { e.dialEntries() })
+	e.timers.Subscribe(clockCheckInterval, func(time.Time) { e.checkWallClock() })
 	e.subscribeConfig()
 	e.subscribeAdministration()
 }
 
 // reportClock logs that the wall clock is not what it was at the start. The entry
 // goes on by its own clock and refuses ids that are too far from that.
-func (e *Entry) reportClock() {
-	if ahead := e.loop.WallClockOffset(); ahead.Abs() > e.settings.Limits.Owner.MaxClockSkew {
+func (e *Entry) checkWallClock() {
+	if offset := e.loop.WallClockOffset(); offset.Abs() > e.settings.Limits.Owner.MaxClockSkew {
 		e.settings.Logger.Warn().
 			Str("event", "clock-stepped").
-			Dur("wall-clock-ahead", ahead).
+			Dur("wall-clock-ahead", offset).
 			Msg("the wall clock was stepped since the start; the entry goes on by the clock of its start until it is restarted")
 	}
 }
@@ -224,17 +224,17 @@
 	drain, cancel := context.WithTimeout(context.Background(), e.settings.DrainTimeout)
 	defer cancel()
 	e.loop.Post(func(now time.Time) { e.coordinator.Drain(now) })
-	e.awaitNotice()
+	e.awaitDrainNotice()
 	e.shutDown(drain, e.callerServer)
 	e.awaitDrained(drain)
-	e.keepBurn(drain)
+	e.storeBurn(drain)
 	e.shutDown(drain, e.otherServers...)
 	e.stop()
 	return nil
 }
 
 // awaitNotice waits until the balancer knows that the entry drains.
-func (e *Entry) awaitNotice() {
+func (e *Entry) awaitDrainNotice() {
 	select {
 	case <-e.killed:
 	case <-time.After(e.settings.DrainNotice):
@@ -262,7 +262,7 @@
 		case <-ctx.Done():
 			e.settings.Logger.Warn().Msg("partitions were not handed over before the drain timeout")
 			return
-		case <-time.After(tickEvery):
+		case <-time.After(tickInterval):
 		}
 	}
 }
--- a/internal/dispatcher/holds.go
+++ b/internal/dispatcher/holds.go
@@ -10,7 +10,7 @@
 
 // holdsPollEvery is the period at which the holds are read, besides the times
 // at which another entry says that they have changed.
-const holdsPollEvery = 5 * time.Second
+const holdsPollInterval = 5 * time.Second
 
 // holds says which state of the holds is applied.
 type holds struct {
--- a/internal/dispatcher/metrics.go
+++ b/internal/dispatcher/metrics.go
@@ -99,18 +99,18 @@
 }
 
 // answered records the answer to a caller's job.
-func (e *Entry) answered(service string, a *messenger.Answer, took time.Duration) {
-	e.meter.Answered(service, a.Outcome, a.Reason, took)
-	e.recordBurn(service, a, took)
+func (e *Entry) recordAnswer(service string, a *messenger.Answer, duration time.Duration) {
+	e.meter.Answered(service, a.Outcome, a.Reason, duration)
+	e.recordBurn(service, a, duration)
 }
 
 // measured records the duration and status of each request by its route.
-func (e *Entry) measured(h http.Handler) http.Handler {
+func (e *Entry) withMetrics(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		begun := time.Now()
+		start := time.Now()
 		recorder := &statusWriter{ResponseWriter: w, status: http.StatusOK}
 		h.ServeHTTP(recorder, r)
-		e.meter.Request(r.Method, routeOf(r), recorder.status, time.Since(begun))
+		e.meter.Request(r.Method, routeOf(r), recorder.status, time.Since(start))
 	})
 }
 
--- a/internal/dispatcher/peer.go
+++ b/internal/dispatcher/peer.go
@@ -44,7 +44,7 @@
 // serveConn runs a connection until it ends.
 func (e *Entry) serveConn(conn *connector.Conn) {
 	peer := conn.Hello().Peer
-	up := e.loop.Call(func(now time.Time) {
+	registered := e.loop.Call(func(now time.Time) {
 		if old := e.peers[peer]; old != nil {
 			old.Close()
 			e.coordinator.PeerDown(now, peer)
@@ -55,7 +55,7 @@
 		e.coordinator.PeerUp(now, hello)
 		e.versions.applier.PeerUp(now, conn.Hello())
 	})
-	if !up {
+	if !registered {
 		conn.Close()
 		return
 	}
@@ -100,7 +100,7 @@
 			greater = append(greater, other.Peer)
 		}
 	}
-	connected := e.connectedOf(greater)
+	connected := e.connectedPeers(greater)
 	for _, other := range *entries {
 		if other.Peer > e.settings.Peer && !connected[other.Peer] {
 			e.dial(other.Addr)
@@ -109,7 +109,7 @@
 }
 
 // connectedOf returns those of the given peers that are connected.
-func (e *Entry) connectedOf(peers []messenger.Peer) map[messenger.Peer]bool {
+func (e *Entry) connectedPeers(peers []messenger.Peer) map[messenger.Peer]bool {
 	connected := make(map[messenger.Peer]bool, len(peers))
 	if len(peers) == 0 {
 		return connected
--- a/internal/dispatcher/query.go
+++ b/internal/dispatcher/query.go
@@ -17,18 +17,18 @@
 type queryTable struct {
 	mu      sync.Mutex
 	next    uint64
-	waiting map[uint64]chan<- messenger.AdminReply
+	pending map[uint64]chan<- messenger.AdminReply
 }
 
 func (t *queryTable) add() (uint64, <-chan messenger.AdminReply) {
 	reply := make(chan messenger.AdminReply, 1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.waiting == nil {
-		t.waiting = make(map[uint64]chan<- messenger.AdminReply)
+	if t.pending == nil {
+		t.pending = make(map[uint64]chan<- messenger.AdminReply)
 	}
 	t.next++
-	t.waiting[t.next] = reply
+	t.pending[t.next] = reply
 	return t.next, reply
 }
 
@@ -36,8 +36,8 @@
 func (t *queryTable) take(ticket uint64) chan<- messenger.AdminReply {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	reply := t.waiting[ticket]
-	delete(t.waiting, ticket)
+	reply := t.pending[ticket]
+	delete(t.pending, ticket)
 	return reply
 }
 
--- a/internal/dispatcher/tls.go
+++ b/internal/dispatcher/tls.go
@@ -10,7 +10,7 @@
 )
 
 // certificateCheckEvery is the period at which the TLS files are read again.
-const certificateCheckEvery = 5 * time.Second
+const certificateCheckInterval = 5 * time.Second
 
 // secure wraps a listener in TLS if the entry has TLS settings. A listener for
 // peers requires a certificate of the peer.
@@ -45,7 +45,7 @@
 	if e.settings.TLS == nil {
 		return
 	}
-	e.timers.Subscribe(certificateCheckEvery, func(time.Time) {
+	e.timers.Subscribe(certificateCheckInterval, func(time.Time) {
 		changed, err := e.settings.TLS.Reload()
 		switch {
 		case err != nil:
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -28,31 +28,31 @@
 const (
 	// tickEvery is the period at which sessions and leases are looked at: a fraction of
 	// the time until a silent entry's tasks are stopped.
-	tickEvery = 20 * time.Millisecond
-	dialEvery = 100 * time.Millisecond
+	tickInterval = 20 * time.Millisecond
+	dialInterval = 100 * time.Millisecond
 	// askFor is how long the upstream may wait for an end before it lists its runs:
 	// progress is known at that period.
-	askFor = 60 * time.Millisecond
+	pollWait = 60 * time.Millisecond
 	// callTimeout bounds a call beyond the time that the upstream is to wait. The upstream
 	// is local and answers within a millisecond; a call that is lost is sent again, which
 	// does nothing if it was carried out.
 	callTimeout = 50 * time.Millisecond
 	// startTries is how often a start is sent until the task is stopped.
-	startTries = 4
+	maxStartAttempts = 4
 	// askPause follows a question for which nothing listened, or that is lost after
 	// hastyAsks others in a row: connections that break at once must not follow each other
 	// at once. A single one that is lost is asked again without delay.
-	askPause  = 50 * time.Millisecond
-	hastyAsks = 2
+	pollRetryDelay      = 50 * time.Millisecond
+	maxImmediateRetries = 2
 	// discoverAfter is how long no entry may be connected until the addresses of entries
 	// are looked up, and the least time between two look-ups.
-	discoverAfter = time.Second
+	discoverInterval = time.Second
 	// drainPoll is the period at which a draining agent looks at what is left.
-	drainPoll = 20 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 	// summaryEvery is the period of the line that sums up the load.
-	summaryEvery = 2 * time.Second
+	loadLogInterval = 2 * time.Second
 	// flushPause is how long a drained agent keeps its connections for the last frames.
-	flushPause = 50 * time.Millisecond
+	finalFlushDelay = 50 * time.Millisecond
 )
 
 // Driver is how the upstream is called. Its functions may be called on any
@@ -102,10 +102,10 @@
 	meter    *meter.Meter
 
 	// The fields below belong to the control thread.
-	runner      *runner.Runner
-	conns       map[messenger.Peer]*connector.Conn
-	lonelySince time.Time // lonelySince is when the last entry was connected, or a look-up began.
-	discovering bool
+	runner            *runner.Runner
+	conns             map[messenger.Peer]*connector.Conn
+	disconnectedSince time.Time // lonelySince is when the last entry was connected, or a look-up began.
+	discovering       bool
 
 	background context.Context
 	stop       context.CancelFunc
@@ -124,12 +124,12 @@
 	k.loop = controller.NewOnClock(timer.NewBootTimeClock(), k.flush)
 	options := connector.Options{Hello: k.hello, Counts: &k.counts}
 	k.links = linker.New(k.background, k.loop, options, linker.Hooks{
-		Up: k.up, Receive: k.receive, Down: k.down, DialFailed: k.unreached,
+		Up: k.addConn, Receive: k.receive, Down: k.removeConn, DialFailed: k.dialFailed,
 	})
 	k.links.Add(true, s.Entries...)
 	identity := meter.Identity{Role: string(messenger.RoleAgent), Peer: string(k.peer), Region: s.Region, DataCentre: s.DataCentre}
 	var err error
-	k.meter, err = meter.New(identity, meter.Sources{Traffic: &k.counts, Busy: k.loop.Busy, Agent: k.state})
+	k.meter, err = meter.New(identity, meter.Sources{Traffic: &k.counts, Busy: k.loop.Busy, Agent: k.agentState})
 	return k, err
 }
 
@@ -137,7 +137,7 @@
 func (k *Keeper) Meter() *meter.Meter { return k.meter }
 
 // state returns what the metrics show of the agent.
-func (k *Keeper) state() (s meter.AgentState) {
+func (k *Keeper) agentState() (s meter.AgentState) {
 	k.loop.Call(func(now time.Time) {
 		s.Running, s.Waiting, _ = k.runner.Counts()
 		s.State = messenger.UpstreamState(k.runner.State(k.loop.Elapsed(now)))
@@ -162,13 +162,13 @@
 	var g run.Group
 	loopCtx, stopLoop := context.WithCancel(context.Background())
 	g.Add(func() error { return k.loop.Run(loopCtx) }, func(error) { stopLoop() })
-	asking, stopAsking := context.WithCancel(context.Background())
-	g.Add(func() error { k.ask(asking); return nil }, func(error) { stopAsking() })
+	pollCtx, stopPolling := context.WithCancel(context.Background())
+	g.Add(func() error { k.pollUpstream(pollCtx); return nil }, func(error) { stopPolling() })
 	end, cancel := context.WithCancel(ctx)
 	g.Add(func() error { <-end.Done(); k.drain(); return nil }, func(error) { cancel() })
-	k.timers.Subscribe(tickEvery, func(time.Time) { k.loop.Post(func(time.Time) {}) })
-	k.timers.Subscribe(dialEvery, func(time.Time) { k.loop.Post(k.dial) })
-	k.timers.Subscribe(summaryEvery, func(time.Time) { k.loop.Post(k.summarize) })
+	k.timers.Subscribe(tickInterval, func(time.Time) { k.loop.Post(func(time.Time) {}) })
+	k.timers.Subscribe(dialInterval, func(time.Time) { k.loop.Post(k.dial) })
+	k.timers.Subscribe(loadLogInterval, func(time.Time) { k.loop.Post(k.logLoad) })
 	err := g.Run()
 	k.stop()
 	k.timers.Stop()
@@ -182,12 +182,12 @@
 	}
 	k.links.DialDue(now)
 	if len(k.conns) > 0 {
-		k.lonelySince = now
+		k.disconnectedSince = now
 	}
-	if k.settings.Discover == nil || k.discovering || now.Sub(k.lonelySince) < discoverAfter {
+	if k.settings.Discover == nil || k.discovering || now.Sub(k.disconnectedSince) < discoverInterval {
 		return
 	}
-	k.discovering, k.lonelySince = true, now
+	k.discovering, k.disconnectedSince = true, now
 	go func() {
 		addrs := k.settings.Discover(k.background)
 		k.loop.Post(func(time.Time) {
@@ -198,36 +198,36 @@
 }
 
 // ask asks the upstream again and again.
-func (k *Keeper) ask(ctx context.Context) {
-	lost := 0 // lost counts the questions without an answer since the last one with.
+func (k *Keeper) pollUpstream(ctx context.Context) {
+	failures := 0 // lost counts the questions without an answer since the last one with.
 	for ctx.Err() == nil {
 		var q runner.PollRequest
-		var asked time.Duration
+		var sentAt time.Duration
 		k.loop.Call(func(now time.Time) {
-			asked = k.loop.Elapsed(now)
-			q = k.runner.NextPoll(asked)
+			sentAt = k.loop.Elapsed(now)
+			q = k.runner.NextPoll(sentAt)
 		})
 		renew := time.Duration(0)
 		if q.LeaseUntil > 0 {
-			renew = q.LeaseUntil - asked
+			renew = q.LeaseUntil - sentAt
 		}
-		askCtx, cancel := context.WithTimeout(ctx, askFor+callTimeout)
-		l, silence := k.settings.Driver.Poll(askCtx, q, renew, askFor)
+		callCtx, cancel := context.WithTimeout(ctx, pollWait+callTimeout)
+		l, status := k.settings.Driver.Poll(callCtx, q, renew, pollWait)
 		cancel()
-		l.RequestedAt = asked
+		l.RequestedAt = sentAt
 		k.loop.Call(func(now time.Time) {
-			if silence == PollAnswered {
+			if status == PollAnswered {
 				k.runner.Listed(k.loop.Elapsed(now), l)
 				return
 			}
-			k.runner.PollFailed(k.loop.Elapsed(now), silence == PollRefused)
+			k.runner.PollFailed(k.loop.Elapsed(now), status == PollRefused)
 		})
-		if silence == PollAnswered {
-			lost = 0
+		if status == PollAnswered {
+			failures = 0
 			continue
 		}
-		if lost++; silence == PollRefused || lost > hastyAsks {
-			timer.Sleep(ctx, askPause)
+		if failures++; status == PollRefused || failures > maxImmediateRetries {
+			timer.Sleep(ctx, pollRetryDelay)
 		}
 	}
 }
@@ -250,20 +250,20 @@
 	deadline := time.Now().Add(k.settings.DrainTimeout)
 	idle := false
 	for !idle && time.Now().Before(deadline) {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 		k.loop.Call(func(time.Time) { idle = k.runner.Idle() })
 	}
-	time.Sleep(flushPause)
+	time.Sleep(finalFlushDelay)
 }
 
 // flush carries out what was decided. It runs on the control thread.
 func (k *Keeper) flush(now time.Time) {
 	out := k.runner.Take(k.loop.Elapsed(now))
 	for _, c := range out.Starts {
-		go k.start(c)
+		go k.startTask(c)
 	}
 	for _, c := range out.Stops {
-		go k.halt(c)
+		go k.stopTask(c)
 	}
 	for _, s := range out.Sends {
 		if conn := k.conns[s.To]; conn != nil {
@@ -277,36 +277,36 @@
 		}
 	}
 	for _, d := range out.Decisions {
-		k.log(d)
+		k.logDecision(d)
 	}
 }
 
-func (k *Keeper) start(c runner.StartCall) {
+func (k *Keeper) startTask(c runner.StartCall) {
 	a := runner.AnswerNone
-	tries := 0
-	for ; tries < startTries && a == runner.AnswerNone; tries++ {
+	attempts := 0
+	for ; attempts < maxStartAttempts && a == runner.AnswerNone; attempts++ {
 		ctx, cancel := context.WithTimeout(k.background, callTimeout)
 		a = k.settings.Driver.Start(ctx, c, k.settings.Limits.LeaseDuration)
 		cancel()
 	}
-	k.loop.Post(func(now time.Time) { k.runner.Started(k.loop.Elapsed(now), c, a, tries > 1) })
+	k.loop.Post(func(now time.Time) { k.runner.Started(k.loop.Elapsed(now), c, a, attempts > 1) })
 }
 
-func (k *Keeper) halt(c runner.StopCall) {
+func (k *Keeper) stopTask(c runner.StopCall) {
 	ctx, cancel := context.WithTimeout(k.background, callTimeout)
 	defer cancel()
 	acknowledged := k.settings.Driver.Stop(ctx, c)
 	k.loop.Post(func(now time.Time) { k.runner.Stopped(k.loop.Elapsed(now), c, acknowledged) })
 }
 
-func (k *Keeper) summarize(now time.Time) {
+func (k *Keeper) logLoad(now time.Time) {
 	running, waiting, used := k.runner.Counts()
 	k.settings.Journal.Line("load").Int("running", running).Int("waiting", waiting).
 		Int64("used-milli-cpu", used.MilliCPU).Str("state", string(k.runner.State(k.loop.Elapsed(now)))).
 		Int("entries", len(k.conns)).Uint64("lines-left-out", k.settings.Journal.Omitted()).Msg("")
 }
 
-func (k *Keeper) log(d runner.Decision) {
+func (k *Keeper) logDecision(d runner.Decision) {
 	e := k.settings.Journal.Line(d.Event)
 	if d.Task.Job != "" {
 		e = e.Str("job", d.Task.Job).Int("step", d.Task.Step).Int("task", d.Task.Index).Uint64("run", d.Run)
@@ -315,7 +315,7 @@
 }
 
 // up takes a connection on the control thread.
-func (k *Keeper) up(now time.Time, c *connector.Conn) bool {
+func (k *Keeper) addConn(now time.Time, c *connector.Conn) bool {
 	h := c.Hello()
 	if h.Role != messenger.RoleEntry || k.runner.HasOrphans() {
 		return false
@@ -329,7 +329,7 @@
 	return true
 }
 
-func (k *Keeper) unreached(addr netip.AddrPort, err error) {
+func (k *Keeper) dialFailed(addr netip.AddrPort, err error) {
 	k.settings.Journal.Line("entry-not-reached").Str("address", addr.String()).Err(err).Msg("")
 }
 
@@ -346,7 +346,7 @@
 	k.runner.Receive(k.loop.Elapsed(now), peer, f)
 }
 
-func (k *Keeper) down(now time.Time, c *connector.Conn, cause error) {
+func (k *Keeper) removeConn(now time.Time, c *connector.Conn, cause error) {
 	peer := c.Hello().Peer
 	if k.conns[peer] != c {
 		return
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -12,30 +12,30 @@
 
 // TestAskIsPaced checks that an upstream whose connections break at once is not asked
 // without a pause.
-func TestAskIsPaced(t *testing.T) {
-	for _, silence := range []PollStatus{PollLost, PollRefused} {
-		t.Run(string(silence), func(t *testing.T) {
-			var asked atomic.Int64
+func TestFailedPollsAreDelayed(t *testing.T) {
+	for _, status := range []PollStatus{PollLost, PollRefused} {
+		t.Run(string(status), func(t *testing.T) {
+			var polls atomic.Int64
 			j := journaler.New("info", t.Output())
 			defer j.Close()
 			k, err := New(Settings{
 				Instance: "agent-1", Journal: j,
 				Driver: Driver{Poll: func(context.Context, runner.PollRequest, time.Duration, time.Duration) (runner.Listing, PollStatus) {
-					asked.Add(1)
-					return runner.Listing{}, silence
+					polls.Add(1)
+					return runner.Listing{}, status
 				}},
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), 10*askPause)
+			ctx, cancel := context.WithTimeout(context.Background(), 10*pollRetryDelay)
 			defer cancel()
 			if err := k.Run(ctx); err != nil {
 				t.Fatal(err)
 			}
 			// Draining takes as long again.
-			if n := asked.Load(); n > 30+hastyAsks {
-				t.Errorf("the upstream was asked %d times in %v", n, 10*askPause)
+			if n := polls.Load(); n > 30+maxImmediateRetries {
+				t.Errorf("the upstream was asked %d times in %v", n, 10*pollRetryDelay)
 			}
 		})
 	}
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -36,9 +36,9 @@
 	upstreamMemoryBytes = 32 << 30
 	agentsPerRack       = 3
 	dataCentres         = 3
-	timeToLive          = 5 * time.Second
+	announcementTTL     = 5 * time.Second
 	readyTimeout        = 15 * time.Second
-	readyPoll           = 10 * time.Millisecond
+	readyPollInterval   = 10 * time.Millisecond
 	drainTimeout        = 5 * time.Second
 )
 
@@ -75,9 +75,9 @@
 	drainEntries  []context.CancelFunc // drainEntries has one function an entry.
 	drainAgents   []context.CancelFunc // drainAgents has one function an agent.
 
-	wg     sync.WaitGroup
-	mu     sync.Mutex
-	faults []error
+	wg   sync.WaitGroup
+	mu   sync.Mutex
+	errs []error
 }
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
@@ -150,7 +150,7 @@
 			select {
 			case <-ctx.Done():
 				return errors.New("the system did not become ready")
-			case <-time.After(readyPoll):
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
@@ -160,7 +160,7 @@
 // Wait waits until everything has stopped and returns what failed.
 func (s *System) Wait() []error {
 	s.wg.Wait()
-	return s.faults
+	return s.errs
 }
 
 // AddEntry starts one more entry.
@@ -233,7 +233,7 @@
 			Slots:       s.options.Slots,
 			Connections: upstreamConnections,
 			MemoryBytes: upstreamMemoryBytes,
-			TimeToLive:  submitter.Duration(timeToLive),
+			TimeToLive:  submitter.Duration(announcementTTL),
 		})
 	})
 	return nil
@@ -260,7 +260,7 @@
 	s.wg.Go(func() {
 		if err := f(); err != nil {
 			s.mu.Lock()
-			s.faults = append(s.faults, err)
+			s.errs = append(s.errs, err)
 			s.mu.Unlock()
 		}
 	})
--- a/internal/linker/linker.go
+++ b/internal/linker/linker.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	minRedial = 100 * time.Millisecond
-	maxRedial = time.Second
+	minDialDelay = 100 * time.Millisecond
+	maxDialDelay = time.Second
 	// forgetAfter is how many dials of a learned address fail in a row until it is
 	// forgotten: some two minutes at the longest pause.
-	forgetAfter = 120
+	maxDialFailures = 120
 	// dialTimeout bounds a dial, which an address without a machine does not answer.
 	dialTimeout = time.Second
 	// unackedFor is how long sent bytes may be without an acknowledgement.
-	unackedFor = 2 * time.Second
+	ackTimeout = 2 * time.Second
 )
 
 // Hooks are called on the control thread.
@@ -56,10 +56,10 @@
 }
 
 type target struct {
-	fixed    bool // fixed means that the address is in the settings.
-	busy     bool // busy means that the address is connected or dialled.
-	failures int  // failures counts the dials that failed since the last connection.
-	next     time.Time
+	configured bool // fixed means that the address is in the settings.
+	active     bool // busy means that the address is connected or dialled.
+	failures   int  // failures counts the dials that failed since the last connection.
+	nextDial   time.Time
 }
 
 // New returns a linker whose connections end with the context.
@@ -73,32 +73,32 @@
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:   dialTimeout,
-		KeepAlive: unackedFor / 2,
-		Control:   func(_, _ string, c syscall.RawConn) error { return breakSilent(c) },
+		KeepAlive: ackTimeout / 2,
+		Control:   func(_, _ string, c syscall.RawConn) error { return setAckTimeout(c) },
 	}
 	return d.DialContext(ctx, network, address)
 }
 
-func breakSilent(c syscall.RawConn) error {
-	var failed error
+func setAckTimeout(c syscall.RawConn) error {
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedFor.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
 // Add makes addresses known. Fixed ones are never forgotten.
-func (l *Linker) Add(fixed bool, addrs ...netip.AddrPort) {
+func (l *Linker) Add(configured bool, addrs ...netip.AddrPort) {
 	for _, addr := range addrs {
 		t := l.targets[addr]
 		if t == nil {
 			t = &target{}
 			l.targets[addr] = t
 		}
-		t.fixed = t.fixed || fixed
+		t.configured = t.configured || configured
 	}
 }
 
@@ -114,18 +114,18 @@
 // DialDue dials what is not connected and due.
 func (l *Linker) DialDue(now time.Time) {
 	for addr, t := range l.targets {
-		if t.busy || now.Before(t.next) {
+		if t.active || now.Before(t.nextDial) {
 			continue
 		}
-		t.busy = true
-		go l.link(addr)
+		t.active = true
+		go l.dial(addr)
 	}
 }
 
-func (l *Linker) link(addr netip.AddrPort) {
+func (l *Linker) dial(addr netip.AddrPort) {
 	connected := false
 	defer func() {
-		l.loop.Post(func(now time.Time) { l.unlinked(now, addr, connected) })
+		l.loop.Post(func(now time.Time) { l.scheduleRedial(now, addr, connected) })
 	}()
 	conn, err := connector.Dial(l.ctx, "ws://"+addr.String()+connector.Path, l.options)
 	if err != nil {
@@ -153,17 +153,17 @@
 	return true
 }
 
-func (l *Linker) unlinked(now time.Time, addr netip.AddrPort, connected bool) {
+func (l *Linker) scheduleRedial(now time.Time, addr netip.AddrPort, connected bool) {
 	t := l.targets[addr]
-	t.busy = false
+	t.active = false
 	if connected {
 		t.failures = 0
 	}
-	pause := min(minRedial<<min(t.failures, 8), maxRedial)
+	delay := min(minDialDelay<<min(t.failures, 8), maxDialDelay)
 	t.failures++
-	if !t.fixed && t.failures > forgetAfter {
+	if !t.configured && t.failures > maxDialFailures {
 		delete(l.targets, addr)
 		return
 	}
-	t.next = now.Add(pause/2 + rand.N(pause))
+	t.nextDial = now.Add(delay/2 + rand.N(delay))
 }
--- a/internal/timer/steady.go
+++ b/internal/timer/boottime.go
@@ -10,8 +10,8 @@
 // machine was suspended as well, which the monotonic clock does not. A process that
 // holds leases on others' behalf must notice that time.
 func NewBootTimeClock() Clock {
-	begun := sinceBoot()
-	return Clock{Start: time.Now(), Elapsed: func() time.Duration { return sinceBoot() - begun }}
+	start := sinceBoot()
+	return Clock{Start: time.Now(), Elapsed: func() time.Duration { return sinceBoot() - start }}
 }
 
 func sinceBoot() time.Duration {
