--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,9 +1,9 @@
-// Package broker runs the entry of a system whose jobs need not be kept: it accepts
-// the connections of agents, passes jobs to the assigner on the control thread, and
-// keeps the catalogue of queues up to date among the entries.
+// Package broker runs the entry of a system whose jobs are ephemeral: it accepts the
+// connections of agents, passes jobs to the assigner on the control thread, and
+// distributes the catalogue of queues among the entries.
 //
-// Nothing is decided here. Callers come through the functions of a [Broker]; how
-// they are served is the business of the caller of this package.
+// The package makes no decisions of its own, and it has no listener for callers: the
+// program that uses it passes their jobs to the methods of a [Broker].
 package broker
 
 import (
@@ -30,13 +30,14 @@
 )
 
 const (
-	// tickEvery is the period at which waiting jobs and silent agents are looked at:
-	// a fraction of the shortest objective.
+	// tickInterval is the interval at which waiting jobs and silent agents are checked. It
+	// is a fraction of the shortest latency objective.
 	tickInterval = 20 * time.Millisecond
 	dialInterval = 100 * time.Millisecond
-	// summaryEvery is the period of the line that sums up the load.
+	// loadLogInterval is the interval of the log line with the load.
 	loadLogInterval = 2 * time.Second
-	// routesEvery is the period at which agents and entries hear of all entries.
+	// routesInterval is the interval at which agents and entries are sent the addresses of
+	// all entries.
 	routesInterval = 2 * time.Second
 )
 
@@ -66,7 +67,7 @@
 	catalogue cataloguer.Store
 	tickets   atomic.Uint64
 	serving   atomic.Bool
-	draining  atomic.Bool // draining means that the process shuts down.
+	draining  atomic.Bool // draining is set once the process shuts down.
 	meter     *meter.Meter
 
 	// The fields below belong to the control thread.
@@ -74,9 +75,9 @@
 	agents       map[messenger.Peer]*connector.Conn
 	entries      map[messenger.Peer]*connector.Conn
 	waiters      map[uint64]chan<- assigner.Answer
-	document     []byte // document is the catalogue in force, as peers read it.
+	document     []byte // document is the encoded catalogue in force.
 	routesSentAt time.Time
-	// offeredAt is when a source last showed the catalogue in force.
+	// confirmedAt is when the platform or a peer last sent the version in force.
 	confirmedAt time.Time
 
 	background context.Context
@@ -125,10 +126,10 @@
 	return b, nil
 }
 
-// handshakeTimeout bounds how long a peer may take to ask for a connection.
+// handshakeTimeout bounds how long a peer may take to send the headers of its handshake.
 const handshakeTimeout = 5 * time.Second
 
-// others returns the addresses that this entry dials: of two entries, the one with
+// dialTargets returns the addresses that this entry dials: of two entries, the one with
 // the lower address dials.
 func (b *Broker) dialTargets(addrs []netip.AddrPort) []netip.AddrPort {
 	var targets []netip.AddrPort
@@ -170,7 +171,7 @@
 // Meter returns the metrics of the process.
 func (b *Broker) Meter() *meter.Meter { return b.meter }
 
-// state returns what the metrics show of the entry.
+// entryState returns the state of the entry for its metrics.
 func (b *Broker) entryState() (s meter.EntryState) {
 	b.loop.Call(func(now time.Time) {
 		s.OpenJobs, s.QueuedTasks = b.assigner.Counts()
@@ -190,8 +191,8 @@
 	return s
 }
 
-// Ready reports whether jobs can be served, now and for a while: the queues are known,
-// and an upstream, and the entry does not drain.
+// Ready reports whether the entry should get new jobs: it knows the queues, an upstream
+// can run tasks, and the entry is not draining.
 func (b *Broker) Ready() bool {
 	return b.serving.Load() && !b.draining.Load() && b.catalogue.InForce() != nil
 }
@@ -199,7 +200,8 @@
 // Catalogue returns the queues in force, or nil if none are known yet.
 func (b *Broker) Catalogue() *cataloguer.Catalogue { return b.catalogue.InForce() }
 
-// Submit runs a job and waits for its answer, at most until the caller's context ends.
+// Submit runs a job and waits for its answer. If the context ends first, the assigner is
+// told that the caller has left, and the error is of kind [KindCallerLeft].
 func (b *Broker) Submit(ctx context.Context, j assigner.Job) (assigner.Answer, error) {
 	j.Ticket = b.tickets.Add(1)
 	answers := make(chan assigner.Answer, 1)
@@ -228,13 +230,14 @@
 	return known
 }
 
-// Status reports whether a job has no answer yet, and whether any of it was started.
+// Status reports whether a job is known, which it is until it has an answer, and whether
+// any of its tasks was launched.
 func (b *Broker) Status(id string) (known, launched bool) {
 	b.loop.Call(func(time.Time) { known, launched = b.assigner.Known(id) })
 	return known, launched
 }
 
-// Waiting returns the number of a queue's jobs of which nothing was started.
+// Waiting returns the number of jobs in a queue that have not launched a task.
 func (b *Broker) Waiting(queue string) (n int) {
 	b.loop.Call(func(time.Time) { n = b.assigner.WaitingJobs(queue) })
 	return n
@@ -246,25 +249,25 @@
 	return jobs
 }
 
-// Close makes the broker reject new jobs.
+// StopAdmitting makes the broker reject new jobs.
 func (b *Broker) StopAdmitting() { b.loop.Post(func(time.Time) { b.assigner.StopAdmitting() }) }
 
-// GiveUp answers every job that has no answer yet.
+// AbandonAll answers every job that has no answer yet, for the end of the process.
 func (b *Broker) AbandonAll() {
 	b.loop.Call(func(now time.Time) { b.assigner.AbandonAll(b.loop.Elapsed(now)) })
 }
 
-// Learn takes peer addresses of entries, from wherever they are known.
+// AddEntries adds peer addresses of entries.
 func (b *Broker) AddEntries(entries []netip.AddrPort) {
 	b.loop.Post(func(time.Time) { b.links.Add(false, b.dialTargets(entries)...) })
 }
 
-// Offer takes a catalogue that the platform has shown.
+// Offer applies a catalogue from the platform if it is newer than the one in force.
 func (b *Broker) Offer(c *cataloguer.Catalogue) {
 	b.loop.Post(func(now time.Time) { b.applyCatalogue(now, c, "platform") })
 }
 
-// flush carries out what was decided. It runs on the control thread.
+// flush carries out the assigner's decisions. It must be called on the control thread.
 func (b *Broker) flush(now time.Time) {
 	out := b.assigner.Advance(b.loop.Elapsed(now))
 	b.serving.Store(b.assigner.Serving(b.loop.Elapsed(now)))
--- a/internal/broker/drain.go
+++ b/internal/broker/drain.go
@@ -3,25 +3,29 @@
 import "time"
 
 const (
-	// closeBefore is how long before the end of the grace period nothing new is accepted:
-	// the longest objective. giveUpBefore is when what is left is answered.
-	stopAdmittingBefore   = 2500 * time.Millisecond
-	failOutstandingBefore = 700 * time.Millisecond
-	// drainPoll is the period at which a draining entry looks at what is left.
+	// stopAdmittingBefore is how long before the end of the grace period the entry begins
+	// to reject new jobs. It is the longest latency objective, so that the jobs before
+	// can be finished. abandonBefore is how long before the end the jobs that remain are
+	// answered without a result.
+	stopAdmittingBefore = 2500 * time.Millisecond
+	abandonBefore       = 700 * time.Millisecond
+	// drainPollInterval is the interval at which a draining entry checks whether jobs are
+	// outstanding.
 	drainPollInterval = 20 * time.Millisecond
-	// flushPause is how long a drained entry keeps connections for the last answers.
+	// finalFlushDelay is how long a drained entry keeps its connections open, so that the
+	// last answers can be sent.
 	finalFlushDelay = 100 * time.Millisecond
 )
 
-// Drain serves on until the balancer, which needs a time to notice, sends nothing more
-// and every job has its answer, at most for the grace period. The entry is not ready
-// from the first.
+// Drain makes the entry report that it is not ready and serves until every job has its
+// answer, at most for the grace period. It serves at least for the notice, in which the
+// load balancer may still send jobs because it has not seen the change.
 func (b *Broker) Drain(grace, notice time.Duration) {
 	b.settings.Journal.Line("draining").Msg("")
 	b.draining.Store(true)
 	start := time.Now()
 	closed := false
-	for time.Since(start) < grace-failOutstandingBefore {
+	for time.Since(start) < grace-abandonBefore {
 		time.Sleep(drainPollInterval)
 		if !closed && time.Since(start) >= grace-stopAdmittingBefore {
 			b.StopAdmitting()
--- a/internal/broker/peers.go
+++ b/internal/broker/peers.go
@@ -29,7 +29,8 @@
 	return 0
 }
 
-// up takes a connection on the control thread.
+// addConn registers a connection and reports whether it was accepted. It must be called
+// on the control thread.
 func (b *Broker) addConn(now time.Time, c *connector.Conn) bool {
 	h := c.Hello()
 	switch h.Role {
@@ -99,8 +100,8 @@
 	b.settings.Journal.Line("entry-not-reached").Str("address", addr.String()).Err(err).Msg("")
 }
 
-// offer puts a catalogue in force if it is newer, and tells the other entries: the
-// platform may turn some of them away.
+// applyCatalogue puts a catalogue in force if it is newer, and sends it to the other
+// entries, since the platform may refuse the requests of some of them.
 func (b *Broker) applyCatalogue(now time.Time, c *cataloguer.Catalogue, source string) {
 	if c.Version >= b.version() {
 		b.confirmedAt = now
@@ -124,7 +125,8 @@
 	return &messenger.Frame{Config: &messenger.Config{Version: b.version(), Document: b.document}}
 }
 
-// route tells agents and entries of all connected entries now and then.
+// sendRoutes sends the addresses of all known entries to agents and entries, at most once
+// in each routesInterval.
 func (b *Broker) sendRoutes(now time.Time) {
 	if now.Sub(b.routesSentAt) < routesInterval {
 		return
