--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -1,10 +1,10 @@
-// Package keeper runs the agent beside an upstream that is driven by starts, stops
-// and a lease: it dials every entry, asks the upstream what it runs, and drives the
+// Package keeper runs the agent beside an upstream that is controlled by starts, stops
+// and a lease: it dials every entry, polls the upstream for its runs, and drives the
 // runner on the control thread.
 //
-// Nothing is decided here. How the upstream is called is given as functions, each
-// of whose calls runs on a goroutine of its own and posts its end to the control
-// thread.
+// The package makes no decisions of its own. A [Driver] calls the upstream. No call
+// blocks the control thread: calls are made on other goroutines, which post the
+// outcome to it.
 package keeper
 
 import (
@@ -26,55 +26,59 @@
 )
 
 const (
-	// tickEvery is the period at which sessions and leases are looked at: a fraction of
-	// the time until a silent entry's tasks are stopped.
+	// tickInterval is the interval at which sessions and leases are checked. It is a
+	// fraction of the time after which the tasks of a silent entry are stopped.
 	tickInterval = 20 * time.Millisecond
 	dialInterval = 100 * time.Millisecond
-	// askFor is how long the upstream may wait for an end before it lists its runs:
-	// progress is known at that period.
+	// pollWait is how long the upstream waits for the end of a run before it answers a
+	// poll. The progress of runs is learned at this interval.
 	pollWait = 60 * time.Millisecond
-	// callTimeout bounds a call beyond the time that the upstream is to wait. The upstream
-	// is local and answers within a millisecond; a call that is lost is sent again, which
-	// does nothing if it was carried out.
+	// callTimeout bounds a call, not counting the time that the upstream is asked to
+	// wait. The upstream is local and answers within a millisecond. A lost call is sent
+	// again; calls are idempotent.
 	callTimeout = 50 * time.Millisecond
-	// startTries is how often a start is sent until the task is stopped.
+	// maxStartAttempts is how often a start is sent without an answer before the task is
+	// stopped.
 	maxStartAttempts = 4
-	// askPause follows a question for which nothing listened, or that is lost after
-	// hastyAsks others in a row: connections that break at once must not follow each other
-	// at once. A single one that is lost is asked again without delay.
+	// A lost poll is repeated without delay, but after maxImmediateRetries lost polls in a
+	// row, and after each poll that was refused, the next one follows pollRetryDelay
+	// later. Otherwise an upstream whose connections break at once would be polled in a
+	// busy loop.
 	pollRetryDelay      = 50 * time.Millisecond
 	maxImmediateRetries = 2
-	// discoverAfter is how long no entry may be connected until the addresses of entries
-	// are looked up, and the least time between two look-ups.
+	// discoverInterval is how long no entry may be connected before the addresses of
+	// entries are looked up, and the shortest time between two look-ups.
 	discoverInterval = time.Second
-	// drainPoll is the period at which a draining agent looks at what is left.
+	// drainPollInterval is the interval at which a draining agent checks whether tasks
+	// remain.
 	drainPollInterval = 20 * time.Millisecond
-	// summaryEvery is the period of the line that sums up the load.
+	// loadLogInterval is the interval of the log line with the load.
 	loadLogInterval = 2 * time.Second
-	// flushPause is how long a drained agent keeps its connections for the last frames.
+	// finalFlushDelay is how long a drained agent keeps its connections open, so that the
+	// last frames can be sent.
 	finalFlushDelay = 50 * time.Millisecond
 )
 
-// Driver is how the upstream is called. Its functions may be called on any
-// goroutine.
+// Driver calls the upstream. Its functions may be called on any goroutine.
 type Driver struct {
-	// Start sends a start, whose lease lasts for the given time.
+	// Start starts a task with a lease of the given duration.
 	Start func(ctx context.Context, c runner.StartCall, lease time.Duration) runner.Answer
-	// Stop sends a stop and reports whether it was acknowledged.
+	// Stop stops a task and reports whether the upstream acknowledged it.
 	Stop func(ctx context.Context, c runner.StopCall) bool
-	// Ask takes note of ends, renews the lease for the given time unless it is 0, and
-	// returns what the upstream runs, after the wait or with the first end.
+	// Poll acknowledges runs that ended and renews the lease for the given time unless
+	// that is 0. It returns the upstream's runs as soon as one has ended, and after the
+	// wait otherwise.
 	Poll func(ctx context.Context, q runner.PollRequest, renew, wait time.Duration) (runner.Listing, PollStatus)
 }
 
-// Silence says why a question has no answer.
+// PollStatus says whether a poll was answered, and if not, why.
 type PollStatus string
 
-// The reasons.
+// The values of PollStatus.
 const (
-	PollAnswered PollStatus = ""       // The question has an answer.
-	PollLost     PollStatus = "lost"   // What became of the question is not known.
-	PollRefused  PollStatus = "closed" // Nothing listens at the upstream's address.
+	PollAnswered PollStatus = ""       // The poll was answered.
+	PollLost     PollStatus = "lost"   // No answer arrived; the upstream may have carried out the poll.
+	PollRefused  PollStatus = "closed" // The connection was refused: nothing listens at the upstream's address.
 )
 
 // Settings are the settings of a keeper.
@@ -104,7 +108,7 @@
 	// The fields below belong to the control thread.
 	runner            *runner.Runner
 	conns             map[messenger.Peer]*connector.Conn
-	disconnectedSince time.Time // lonelySince is when the last entry was connected, or a look-up began.
+	disconnectedSince time.Time // disconnectedSince is when an entry was last connected or a look-up last began.
 	discovering       bool
 
 	background context.Context
@@ -136,7 +140,7 @@
 // Meter returns the metrics of the process.
 func (k *Keeper) Meter() *meter.Meter { return k.meter }
 
-// state returns what the metrics show of the agent.
+// agentState returns the state of the agent for its metrics.
 func (k *Keeper) agentState() (s meter.AgentState) {
 	k.loop.Call(func(now time.Time) {
 		s.Running, s.Waiting, _ = k.runner.Counts()
@@ -157,7 +161,8 @@
 	}
 }
 
-// Run serves until the context ends, then finishes what runs and returns.
+// Run serves until the context ends. It then waits for the running tasks, at most for the
+// drain timeout, and returns.
 func (k *Keeper) Run(ctx context.Context) error {
 	var g run.Group
 	loopCtx, stopLoop := context.WithCancel(context.Background())
@@ -175,7 +180,8 @@
 	return err
 }
 
-// dial connects to entries, once nothing is left of earlier connections.
+// dial connects to entries. While tasks of closed sessions or
+// orphan runs remain, it does nothing.
 func (k *Keeper) dial(now time.Time) {
 	if k.runner.HasOrphans() {
 		return
@@ -197,9 +203,9 @@
 	}()
 }
 
-// ask asks the upstream again and again.
+// pollUpstream polls the upstream until the context ends.
 func (k *Keeper) pollUpstream(ctx context.Context) {
-	failures := 0 // lost counts the questions without an answer since the last one with.
+	failures := 0 // failures counts the failed polls since the last answered one.
 	for ctx.Err() == nil {
 		var q runner.PollRequest
 		var sentAt time.Duration
@@ -232,18 +238,19 @@
 	}
 }
 
-// Announce takes an announcement of the upstream and reports whether it was taken.
+// Announce applies an announcement of the upstream and reports whether it was accepted.
 func (k *Keeper) Announce(u runner.Announcement) (taken bool) {
 	k.loop.Call(func(now time.Time) { taken = k.runner.Announce(k.loop.Elapsed(now), u) })
 	return taken
 }
 
-// Leave takes the end of the upstream.
+// Leave is called when the upstream of the given id has announced that it leaves.
 func (k *Keeper) Leave(id string) {
 	k.loop.Call(func(now time.Time) { k.runner.Leave(k.loop.Elapsed(now), id) })
 }
 
-// drain returns what waits and waits for what runs.
+// drain returns the waiting tasks to their entries and waits for the running ones, at most
+// for the drain timeout.
 func (k *Keeper) drain() {
 	k.settings.Journal.Line("draining").Msg("")
 	k.loop.Call(func(now time.Time) { k.runner.Close(k.loop.Elapsed(now)) })
@@ -256,7 +263,7 @@
 	time.Sleep(finalFlushDelay)
 }
 
-// flush carries out what was decided. It runs on the control thread.
+// flush carries out the runner's decisions. It must be called on the control thread.
 func (k *Keeper) flush(now time.Time) {
 	out := k.runner.Take(k.loop.Elapsed(now))
 	for _, c := range out.Starts {
@@ -314,7 +321,8 @@
 	e.Str("reason", d.Reason).Dur("age", d.Age).Msg("")
 }
 
-// up takes a connection on the control thread.
+// addConn registers a connection and reports whether it was accepted. It must be called
+// on the control thread.
 func (k *Keeper) addConn(now time.Time, c *connector.Conn) bool {
 	h := c.Hello()
 	if h.Role != messenger.RoleEntry || k.runner.HasOrphans() {
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -10,8 +10,8 @@
 	"sardinelock.dev/sardinelock/internal/runner"
 )
 
-// TestAskIsPaced checks that an upstream whose connections break at once is not asked
-// without a pause.
+// TestFailedPollsAreDelayed checks that an upstream whose connections break at once is
+// not polled in a busy loop.
 func TestFailedPollsAreDelayed(t *testing.T) {
 	for _, status := range []PollStatus{PollLost, PollRefused} {
 		t.Run(string(status), func(t *testing.T) {
@@ -33,9 +33,9 @@
 			if err := k.Run(ctx); err != nil {
 				t.Fatal(err)
 			}
-			// Draining takes as long again.
+			// The bound leaves room for the polls during the drain.
 			if n := polls.Load(); n > 30+maxImmediateRetries {
-				t.Errorf("the upstream was asked %d times in %v", n, 10*pollRetryDelay)
+				t.Errorf("the upstream was polled %d times in %v", n, 10*pollRetryDelay)
 			}
 		})
 	}
