--- a/internal/linker/linker.go
+++ b/internal/linker/linker.go
@@ -1,8 +1,8 @@
 // Package linker keeps connections to a changing set of addresses.
 //
-// A [Linker] belongs to the control thread of a process. It dials what is known
-// and not connected, with pauses that grow and are jittered, and passes on what
-// the connections bring.
+// A [Linker] belongs to the control thread of a process. It dials the known addresses
+// that are not connected, with exponential backoff and jitter, and passes the frames of
+// its connections to hooks.
 package linker
 
 import (
@@ -24,25 +24,26 @@
 const (
 	minDialDelay = 100 * time.Millisecond
 	maxDialDelay = time.Second
-	// forgetAfter is how many dials of a learned address fail in a row until it is
-	// forgotten: some two minutes at the longest pause.
+	// maxDialFailures is how many dials of a learned address may fail in a row before the
+	// address is forgotten: some two minutes at the longest delay.
 	maxDialFailures = 120
-	// dialTimeout bounds a dial, which an address without a machine does not answer.
+	// dialTimeout bounds a dial, since no machine may exist at the address to answer it.
 	dialTimeout = time.Second
-	// unackedFor is how long sent bytes may be without an acknowledgement.
+	// ackTimeout is how long sent bytes may remain unacknowledged before the connection is
+	// closed.
 	ackTimeout = 2 * time.Second
 )
 
 // Hooks are called on the control thread.
 type Hooks struct {
-	// Up is told of a connection. If it reports false, the connection is closed.
+	// Up is called with each new connection. If it returns false, the connection is closed.
 	Up func(now time.Time, c *connector.Conn) bool
-	// Receive is given each frame.
+	// Receive is called with each frame.
 	Receive func(now time.Time, c *connector.Conn, f *messenger.Frame)
-	// Down is told of the end of a connection that was up.
+	// Down is called when a connection that Up accepted has ended.
 	Down func(now time.Time, c *connector.Conn, cause error)
-	// Failed is told of a dial that did not lead to a connection. Unlike the others it is
-	// called on the goroutine of the dial.
+	// DialFailed is called when a dial has failed. Unlike the others it is called on the
+	// goroutine of the dial.
 	DialFailed func(addr netip.AddrPort, err error)
 }
 
@@ -56,8 +57,8 @@
 }
 
 type target struct {
-	configured bool // fixed means that the address is in the settings.
-	active     bool // busy means that the address is connected or dialled.
+	configured bool // configured is set if the address comes from the settings; it is never forgotten.
+	active     bool // active is set while the address is connected or being dialled.
 	failures   int  // failures counts the dials that failed since the last connection.
 	nextDial   time.Time
 }
@@ -68,8 +69,8 @@
 	return &Linker{loop: loop, hooks: h, options: o, ctx: ctx, targets: make(map[netip.AddrPort]*target)}
 }
 
-// Dial opens a connection that breaks when what it sends is not acknowledged, so that
-// a peer that has lost its power or the network is noticed.
+// Dial opens a connection that fails if sent bytes remain unacknowledged for ackTimeout, so
+// that a peer that has lost its power or its network is detected.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:   dialTimeout,
@@ -90,7 +91,7 @@
 	return sockErr
 }
 
-// Add makes addresses known. Fixed ones are never forgotten.
+// Add adds addresses. Configured ones are never forgotten.
 func (l *Linker) Add(configured bool, addrs ...netip.AddrPort) {
 	for _, addr := range addrs {
 		t := l.targets[addr]
@@ -111,7 +112,7 @@
 	return addrs
 }
 
-// DialDue dials what is not connected and due.
+// DialDue dials the addresses that are not connected and whose delay has passed.
 func (l *Linker) DialDue(now time.Time) {
 	for addr, t := range l.targets {
 		if t.active || now.Before(t.nextDial) {
@@ -135,8 +136,9 @@
 	connected = l.Serve(conn)
 }
 
-// Serve passes on what a connection brings until it ends. It reports whether the
-// connection was taken. It must not be called on the control thread.
+// Serve passes the frames of a connection to the hooks until the connection ends. It
+// reports whether the Up hook accepted the connection. It must not be called on the
+// control thread.
 func (l *Linker) Serve(conn *connector.Conn) bool {
 	taken := false
 	l.loop.Call(func(now time.Time) { taken = l.hooks.Up(now, conn) })
