--- a/internal/launcher/config.go
+++ b/internal/launcher/config.go
@@ -14,8 +14,8 @@
 //go:embed base.yaml
 var shippedBase []byte
 
-// StoreConfig makes a base file, or the shipped one if the name is empty, and
-// overlays the first accepted version of a platform. It returns the names of its
+// StoreConfig stores a base file, or the shipped one if the name is empty, and overlays
+// as the first version of the configuration on a platform. It returns the names of the
 // services.
 func StoreConfig(platform *emulator.Platform, baseFile string, overlayFiles []string) ([]string, error) {
 	base := configurer.File{Name: "base.yaml", Text: shippedBase}
--- a/internal/launcher/control.go
+++ b/internal/launcher/control.go
@@ -11,7 +11,7 @@
 	"sardinelock.dev/sardinelock/internal/emulator"
 )
 
-// KillEntry ends an entry at once.
+// KillEntry stops an entry immediately, as a crash would.
 func (s *System) KillEntry(i int) error {
 	e, err := s.entry(i)
 	if err == nil {
@@ -20,7 +20,7 @@
 	return err
 }
 
-// PauseEntry stops the control thread of an entry for a while.
+// PauseEntry blocks the control thread of an entry for the given time.
 func (s *System) PauseEntry(i int, d time.Duration) error {
 	e, err := s.entry(i)
 	if err == nil {
@@ -29,7 +29,7 @@
 	return err
 }
 
-// DrainEntry lets an entry shut down in order.
+// DrainEntry begins a graceful shutdown of an entry.
 func (s *System) DrainEntry(i int) error {
 	if _, err := s.entry(i); err != nil {
 		return err
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// KillAgent ends an agent at once. Its upstream stays and is not reached any more.
+// KillAgent stops an agent immediately, as a crash would. Its upstream keeps running and
+// can no longer be reached.
 func (s *System) KillAgent(i int) error {
 	a, err := s.agent(i)
 	if err == nil {
@@ -47,7 +48,7 @@
 	return err
 }
 
-// PauseAgent stops the control thread of an agent for a while.
+// PauseAgent blocks the control thread of an agent for the given time.
 func (s *System) PauseAgent(i int, d time.Duration) error {
 	a, err := s.agent(i)
 	if err == nil {
@@ -56,7 +57,8 @@
 	return err
 }
 
-// DrainAgent lets an agent shut down in order and its upstream leave.
+// DrainAgent begins a graceful shutdown of an agent; its upstream announces that it
+// leaves.
 func (s *System) DrainAgent(i int) error {
 	if _, err := s.agent(i); err != nil {
 		return err
@@ -74,8 +76,8 @@
 	return nil
 }
 
-// Traffic sums the traffic of all entries and agents. Every message is counted
-// once as sent, by whoever sent it.
+// Traffic returns the sum of the traffic of all entries and agents. Each message is
+// counted as sent once, by its sender.
 func (s *System) Traffic() connector.Totals {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +97,7 @@
 	return sum
 }
 
-// Starts adds the number of starts of each task over all upstreams.
+// AddStarts adds the number of starts of each task on all upstreams to the given map.
 func (s *System) AddStarts(into map[emulator.TaskRef]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -1,8 +1,8 @@
-// Package launcher runs a whole system in one process on loopback: a stand-in for
-// the platform, entries, and agents with stand-ins for their upstreams.
+// Package launcher runs a whole system in one process on loopback: an emulated
+// platform, entries, and agents with emulated upstreams.
 //
-// It serves development, load experiments and tests. All connections are real;
-// only the processes are not.
+// It is used for development, load experiments and tests. All connections are real;
+// entries and agents are goroutines instead of processes.
 package launcher
 
 import (
@@ -45,21 +45,21 @@
 // Options describe a system.
 type Options struct {
 	Entries, Agents int
-	// BaseFile is the base configuration; empty means the shipped one.
+	// BaseFile is the base configuration; if it is empty, the shipped one is used.
 	BaseFile string
 	// OverlayFiles are the overlays of sites; the data centres are dc-0 to dc-2.
 	OverlayFiles []string
-	// Slots are the slots of each upstream; zero means 8.
+	// Slots is the number of slots of each upstream; if it is 0, an upstream has 8.
 	Slots       int
 	Limits      coordinator.Limits
 	AgentLimits guard.Limits
-	// TLS has the certificates of all processes; nil runs without TLS.
+	// TLS has the certificates of all entries and agents. If it is nil, they run without TLS.
 	TLS    *certifier.Certifier
 	Logger *log.Logger
 }
 
-// System is a running system. Entries and agents that were killed or drained
-// stay in its lists, so that an index always means the same one.
+// System is a running system. Entries and agents that were killed or drained stay in
+// its lists, so that indices remain valid.
 type System struct {
 	Platform *emulator.Platform
 	// PlatformAddr is where the platform is served.
@@ -71,9 +71,9 @@
 	ctx           context.Context
 	options       Options
 	services      []string
-	upstreamAddrs []netip.AddrPort     // upstreamAddrs has one address an upstream.
-	drainEntries  []context.CancelFunc // drainEntries has one function an entry.
-	drainAgents   []context.CancelFunc // drainAgents has one function an agent.
+	upstreamAddrs []netip.AddrPort     // upstreamAddrs has one address per upstream.
+	drainEntries  []context.CancelFunc // drainEntries has one function per entry.
+	drainAgents   []context.CancelFunc // drainAgents has one function per agent.
 
 	wg   sync.WaitGroup
 	mu   sync.Mutex
@@ -108,7 +108,7 @@
 	return s, nil
 }
 
-// CallerAddrs returns the callers' addresses of the entries.
+// CallerAddrs returns the addresses at which the entries accept callers.
 func (s *System) CallerAddrs() []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, e := range s.Entries {
@@ -141,7 +141,7 @@
 	return out
 }
 
-// AwaitReady waits until every entry can place tasks at every agent.
+// AwaitReady waits until every entry can schedule tasks on every agent.
 func (s *System) AwaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// Wait waits until everything has stopped and returns what failed.
+// Wait waits until the whole system has stopped and returns the errors of its parts.
 func (s *System) Wait() []error {
 	s.wg.Wait()
 	return s.errs
