--- a/internal/controller/cell.go
+++ b/internal/controller/cell.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// Cell is one entry of the blackboard: a value that the control thread replaces
-// and any goroutine reads. A published value is never changed afterwards.
+// Cell holds a value that the control thread replaces and any goroutine may read. A
+// published value is never modified.
 type Cell[T any] struct {
 	value atomic.Pointer[T]
 }
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -1,8 +1,8 @@
-// Package controller runs a process's control thread and holds its blackboard.
+// Package controller runs a process's control thread and publishes values from it.
 //
-// The control thread is one goroutine that owns all control state. Other
-// goroutines post events to it; it applies every event that is ready and then
-// flushes once, so that a burst of events leads to one batch of messages. What
+// The control thread is one goroutine that owns all control state. Other goroutines
+// post events to it. It applies the events that are queued, up to a limit, and then
+// flushes once, so that a burst of events results in one batch of messages. State that
 // other goroutines may read is published as an immutable value in a [Cell].
 package controller
 
@@ -15,9 +15,10 @@
 )
 
 const (
-	// queueEvents bounds the events that wait; a poster blocks beyond it.
+	// queueCapacity is the number of events that can be queued; Post blocks while the
+	// queue is full.
 	queueCapacity = 8192
-	// batchEvents bounds the events that are applied before a flush.
+	// maxBatchEvents is the largest number of events that are applied before a flush.
 	maxBatchEvents = 512
 )
 
@@ -31,7 +32,7 @@
 	// flush is called on the control thread after each batch of events.
 	flush   func(now time.Time)
 	done    chan struct{}
-	busy    atomic.Int64 // busy is the time spent on batches, in nanoseconds.
+	busy    atomic.Int64 // busy is the time spent on batches and flushes, in nanoseconds.
 	applied atomic.Uint64
 }
 
@@ -48,23 +49,23 @@
 	}
 }
 
-// Now returns the time on the clock of the loop, which every event is given.
+// Now returns the time on the loop's clock. Each event is applied with this time.
 func (l *Loop) Now() time.Time { return l.clock.Now() }
 
-// Elapsed returns the time since a loop's clock began, for an event's time.
+// Elapsed returns the time from the start of the loop's clock to an event's time.
 func (l *Loop) Elapsed(now time.Time) time.Duration { return now.Sub(l.clock.Start) }
 
-// WallAhead returns how far the wall clock is ahead of the clock of the loop.
+// WallClockOffset returns how far the wall clock is ahead of the loop's clock.
 func (l *Loop) WallClockOffset() time.Duration { return l.clock.OffsetOf(time.Now()) }
 
-// Busy returns the time that the control thread has spent on its events, and how
-// many it has applied.
+// Busy returns the time that the control thread has spent on its batches, and the number
+// of events that it has applied.
 func (l *Loop) Busy() (time.Duration, uint64) {
 	return time.Duration(l.busy.Load()), l.applied.Load()
 }
 
-// Post hands an event to the control thread. It blocks while the queue is full
-// and reports false once the loop has ended.
+// Post queues an event for the control thread. It blocks while the queue is full and
+// returns false if the loop has ended.
 func (l *Loop) Post(e Event) bool {
 	select {
 	case l.events <- e:
@@ -74,8 +75,8 @@
 	}
 }
 
-// Call posts an event and waits until it has been applied. It must not be called
-// on the control thread.
+// Call posts an event and waits until it has been applied. It returns false if the loop
+// ended before. It must not be called on the control thread.
 func (l *Loop) Call(e Event) bool {
 	applied := make(chan struct{})
 	posted := l.Post(func(now time.Time) {
@@ -107,8 +108,8 @@
 }
 
 func (l *Loop) applyBatch(first Event) {
-	// The time is read for each event and for the flush: a process may be paused
-	// between any two of them, and what holds a lease must see that.
+	// The time is read for each event and for the flush. The process may be suspended
+	// between any two of them, and the holder of a lease must notice that time.
 	start := l.Now()
 	first(start)
 	applied := uint64(1)
--- a/internal/controller/loop_test.go
+++ b/internal/controller/loop_test.go
@@ -9,8 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestTimeAfterPause checks that events and the flush behind a long event of the
-// same batch see the time that has passed.
+// TestTimeAfterPause checks that the events after a long event of the same batch, and the
+// flush, are given the time after it. With the time of the batch's start, the holder of
+// a lease would not notice that the lease has expired meanwhile.
 func TestTimeAfterPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
--- a/internal/issuer/issuer.go
+++ b/internal/issuer/issuer.go
@@ -1,5 +1,5 @@
-// Package issuer makes certificates for tests, valid or expired, of one authority
-// or another.
+// Package issuer creates certificates for tests. They can be valid or expired, and signed
+// by different authorities.
 package issuer
 
 import (
@@ -30,7 +30,7 @@
 	serial      int64
 }
 
-// New returns an authority of its own.
+// New returns a new authority with a key of its own.
 func New(t testing.TB) *Authority {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -57,8 +57,9 @@
 	return &Authority{t: t, certificate: certificate, key: key, serial: 1}
 }
 
-// Issue writes a certificate that expires at the given time, its key and the
-// authority to files in the directory, and returns the files.
+// Issue creates a certificate that expires at the given time. It writes the certificate,
+// its key and the authority's certificate to files in the directory and returns their
+// names.
 func (a *Authority) Issue(dir string, expires time.Time) certifier.Files {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/internal/timer/boottime.go
+++ b/internal/timer/boottime.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// NewSteadyClock returns a clock that begins now and counts the time in which the
-// machine was suspended as well, which the monotonic clock does not. A process that
-// holds leases on others' behalf must notice that time.
+// NewBootTimeClock returns a clock that starts now and, unlike the monotonic clock, also
+// counts the time in which the machine is suspended. A process that holds leases on
+// behalf of others must notice that time.
 func NewBootTimeClock() Clock {
 	start := sinceBoot()
 	return Clock{Start: time.Now(), Elapsed: func() time.Duration { return sinceBoot() - start }}
@@ -16,7 +16,7 @@
 
 func sinceBoot() time.Duration {
 	var ts unix.Timespec
-	// The call fails only for a clock that the system does not have, or a bad pointer.
+	// The call fails only if the system has no such clock or the pointer is invalid.
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		panic(err)
 	}
--- a/internal/timer/clock_test.go
+++ b/internal/timer/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestClock checks that the clock goes on from its start by the elapsed time alone.
+// TestClock checks that the clock advances from its start by the elapsed time alone.
 func TestClock(t *testing.T) {
 	start := time.Date(2026, 5, 4, 3, 2, 1, 0, time.UTC)
 	elapsed := time.Duration(0)
--- a/internal/timer/timer.go
+++ b/internal/timer/timer.go
@@ -1,10 +1,10 @@
-// Package timer is the process's one source of periodic time.
+// Package timer provides the periodic ticks and the clocks of a process.
 //
-// Parts of a process subscribe with a period and a function; the service calls
-// each function on its own goroutine's schedule, never two calls of one
-// subscription at once. A subscriber that is still busy when its next tick is
-// due misses that tick. Decision code does not use this package: it is given the
-// time with each event.
+// The parts of a process subscribe with a period and a function. The service calls the
+// function of each subscription on a goroutine of its own, so that calls of one
+// subscription never overlap. A subscriber that is still busy when its next tick is due
+// may miss that tick. Decision code does not use this package: it is given the time with
+// each event.
 package timer
 
 import (
@@ -58,7 +58,7 @@
 	}
 }
 
-// Sleep waits for a time, or until the context ends.
+// Sleep waits for the given time or until the context ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
