--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -79,7 +79,7 @@
 	auth   controller.Cell[credentials]
 
 	meter         *meter.Meter
-	peerDialer    *http.Client  // peerDialer dials peers; nil without TLS.
+	peerDialer    *http.Client  // peerDialer dials peers; nil selects the default client.
 	stopping      atomic.Bool   // stopping is set once the entry shuts down.
 	drained       atomic.Bool   // drained is set while an operator drains the entry.
 	configVersion atomic.Uint64 // configVersion is the version of config; 0 if none is known.
