--- a/internal/dispatcher/peer.go
+++ b/internal/dispatcher/peer.go
@@ -15,10 +15,11 @@
 	mux.HandleFunc(connector.Path, func(w http.ResponseWriter, r *http.Request) {
 		conn, err := connector.Accept(w, r, e.connOptions())
 		if err != nil {
-			e.settings.Logger.Warn().Err(err).Msg("a peer was turned away")
+			e.settings.Logger.Warn().Err(err).Msg("rejected the connection of a peer")
 			return
 		}
-		// A goroutine of its own has a smaller stack than the HTTP server's.
+		// A new goroutine has a smaller stack than the HTTP server's goroutine, which
+		// ends here.
 		go e.serveConn(conn)
 	})
 	return mux
@@ -44,7 +45,7 @@
 // serveConn runs a connection until it ends.
 func (e *Entry) serveConn(conn *connector.Conn) {
 	peer := conn.Hello().Peer
-	up := e.loop.Call(func(now time.Time) {
+	registered := e.loop.Call(func(now time.Time) {
 		if old := e.peers[peer]; old != nil {
 			old.Close()
 			e.coordinator.PeerDown(now, peer)
@@ -55,7 +56,7 @@
 		e.coordinator.PeerUp(now, hello)
 		e.versions.applier.PeerUp(now, conn.Hello())
 	})
-	if !up {
+	if !registered {
 		conn.Close()
 		return
 	}
@@ -83,8 +84,8 @@
 	})
 }
 
-// dialEntries connects to the entries that have a greater name, so that two
-// entries have one connection.
+// dialEntries connects to the entries with greater names, so that there is a single
+// connection between two entries.
 func (e *Entry) dialEntries() {
 	if !e.dialling.TryLock() {
 		return
@@ -100,7 +101,7 @@
 			greater = append(greater, other.Peer)
 		}
 	}
-	connected := e.connectedOf(greater)
+	connected := e.connectedPeers(greater)
 	for _, other := range *entries {
 		if other.Peer > e.settings.Peer && !connected[other.Peer] {
 			e.dial(other.Addr)
@@ -108,8 +109,8 @@
 	}
 }
 
-// connectedOf returns those of the given peers that are connected.
-func (e *Entry) connectedOf(peers []messenger.Peer) map[messenger.Peer]bool {
+// connectedPeers returns which of the given peers are connected.
+func (e *Entry) connectedPeers(peers []messenger.Peer) map[messenger.Peer]bool {
 	connected := make(map[messenger.Peer]bool, len(peers))
 	if len(peers) == 0 {
 		return connected
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -1,8 +1,8 @@
-// Package launcher runs a whole system in one process on loopback: a stand-in for
-// the platform, entries, and agents with stand-ins for their upstreams.
+// Package launcher runs a whole system in one process on loopback: an emulated
+// platform, entries, and agents with emulated upstreams.
 //
-// It serves development, load experiments and tests. All connections are real;
-// only the processes are not.
+// It is used for development, load experiments and tests. All connections are real;
+// entries and agents are goroutines instead of processes.
 package launcher
 
 import (
@@ -36,30 +36,30 @@
 	upstreamMemoryBytes = 32 << 30
 	agentsPerRack       = 3
 	dataCentres         = 3
-	timeToLive          = 5 * time.Second
+	announcementTTL     = 5 * time.Second
 	readyTimeout        = 15 * time.Second
-	readyPoll           = 10 * time.Millisecond
+	readyPollInterval   = 10 * time.Millisecond
 	drainTimeout        = 5 * time.Second
 )
 
 // Options describe a system.
 type Options struct {
 	Entries, Agents int
-	// BaseFile is the base configuration; empty means the shipped one.
+	// BaseFile is the base configuration; if it is empty, the shipped one is used.
 	BaseFile string
 	// OverlayFiles are the overlays of sites; the data centres are dc-0 to dc-2.
 	OverlayFiles []string
-	// Slots are the slots of each upstream; zero means 8.
+	// Slots is the number of slots of each upstream; if it is 0, an upstream has 8.
 	Slots       int
 	Limits      coordinator.Limits
 	AgentLimits guard.Limits
-	// TLS has the certificates of all processes; nil runs without TLS.
+	// TLS has the certificates of all entries and agents. If it is nil, they run without TLS.
 	TLS    *certifier.Certifier
 	Logger *log.Logger
 }
 
-// System is a running system. Entries and agents that were killed or drained
-// stay in its lists, so that an index always means the same one.
+// System is a running system. Entries and agents that were killed or drained stay in
+// its lists, so that indices remain valid.
 type System struct {
 	Platform *emulator.Platform
 	// PlatformAddr is where the platform is served.
@@ -71,13 +71,13 @@
 	ctx           context.Context
 	options       Options
 	services      []string
-	upstreamAddrs []netip.AddrPort     // upstreamAddrs has one address an upstream.
-	drainEntries  []context.CancelFunc // drainEntries has one function an entry.
-	drainAgents   []context.CancelFunc // drainAgents has one function an agent.
+	upstreamAddrs []netip.AddrPort     // upstreamAddrs has one address per upstream.
+	drainEntries  []context.CancelFunc // drainEntries has one function per entry.
+	drainAgents   []context.CancelFunc // drainAgents has one function per agent.
 
-	wg     sync.WaitGroup
-	mu     sync.Mutex
-	faults []error
+	wg   sync.WaitGroup
+	mu   sync.Mutex
+	errs []error
 }
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
@@ -108,7 +108,7 @@
 	return s, nil
 }
 
-// CallerAddrs returns the callers' addresses of the entries.
+// CallerAddrs returns the addresses at which the entries accept callers.
 func (s *System) CallerAddrs() []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, e := range s.Entries {
@@ -141,7 +141,7 @@
 	return out
 }
 
-// AwaitReady waits until every entry can place tasks at every agent.
+// AwaitReady waits until every entry can schedule tasks on every agent.
 func (s *System) AwaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -150,17 +150,17 @@
 			select {
 			case <-ctx.Done():
 				return errors.New("the system did not become ready")
-			case <-time.After(readyPoll):
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
 	return nil
 }
 
-// Wait waits until everything has stopped and returns what failed.
+// Wait waits until the whole system has stopped and returns the errors of its parts.
 func (s *System) Wait() []error {
 	s.wg.Wait()
-	return s.faults
+	return s.errs
 }
 
 // AddEntry starts one more entry.
@@ -233,7 +233,7 @@
 			Slots:       s.options.Slots,
 			Connections: upstreamConnections,
 			MemoryBytes: upstreamMemoryBytes,
-			TimeToLive:  submitter.Duration(timeToLive),
+			TimeToLive:  submitter.Duration(announcementTTL),
 		})
 	})
 	return nil
@@ -260,7 +260,7 @@
 	s.wg.Go(func() {
 		if err := f(); err != nil {
 			s.mu.Lock()
-			s.faults = append(s.faults, err)
+			s.errs = append(s.errs, err)
 			s.mu.Unlock()
 		}
 	})
--- a/internal/linker/linker.go
+++ b/internal/linker/linker.go
@@ -1,8 +1,8 @@
 // Package linker keeps connections to a changing set of addresses.
 //
-// A [Linker] belongs to the control thread of a process. It dials what is known
-// and not connected, with pauses that grow and are jittered, and passes on what
-// the connections bring.
+// A [Linker] belongs to the control thread of a process. It dials the known addresses
+// that are not connected, with exponential backoff and jitter, and passes the frames of
+// its connections to hooks.
 package linker
 
 import (
@@ -22,27 +22,28 @@
 )
 
 const (
-	minRedial = 100 * time.Millisecond
-	maxRedial = time.Second
-	// forgetAfter is how many dials of a learned address fail in a row until it is
-	// forgotten: some two minutes at the longest pause.
-	forgetAfter = 120
-	// dialTimeout bounds a dial, which an address without a machine does not answer.
+	minDialDelay = 100 * time.Millisecond
+	maxDialDelay = time.Second
+	// maxDialFailures is how many dials of a learned address may fail in a row before the
+	// address is forgotten: some two minutes at the longest delay.
+	maxDialFailures = 120
+	// dialTimeout bounds a dial, since no machine may exist at the address to answer it.
 	dialTimeout = time.Second
-	// unackedFor is how long sent bytes may be without an acknowledgement.
-	unackedFor = 2 * time.Second
+	// ackTimeout is how long sent bytes may remain unacknowledged before the connection is
+	// closed.
+	ackTimeout = 2 * time.Second
 )
 
 // Hooks are called on the control thread.
 type Hooks struct {
-	// Up is told of a connection. If it reports false, the connection is closed.
+	// Up is called with each new connection. If it returns false, the connection is closed.
 	Up func(now time.Time, c *connector.Conn) bool
-	// Receive is given each frame.
+	// Receive is called with each frame.
 	Receive func(now time.Time, c *connector.Conn, f *messenger.Frame)
-	// Down is told of the end of a connection that was up.
+	// Down is called when a connection that Up accepted has ended.
 	Down func(now time.Time, c *connector.Conn, cause error)
-	// Failed is told of a dial that did not lead to a connection. Unlike the others it is
-	// called on the goroutine of the dial.
+	// DialFailed is called when a dial has failed. Unlike the others it is called on the
+	// goroutine of the dial.
 	DialFailed func(addr netip.AddrPort, err error)
 }
 
@@ -56,10 +57,10 @@
 }
 
 type target struct {
-	fixed    bool // fixed means that the address is in the settings.
-	busy     bool // busy means that the address is connected or dialled.
-	failures int  // failures counts the dials that failed since the last connection.
-	next     time.Time
+	configured bool // configured is set if the address comes from the settings; it is never forgotten.
+	active     bool // active is set while the address is connected or being dialled.
+	failures   int  // failures counts the dials that failed since the last connection.
+	nextDial   time.Time
 }
 
 // New returns a linker whose connections end with the context.
@@ -68,37 +69,37 @@
 	return &Linker{loop: loop, hooks: h, options: o, ctx: ctx, targets: make(map[netip.AddrPort]*target)}
 }
 
-// Dial opens a connection that breaks when what it sends is not acknowledged, so that
-// a peer that has lost its power or the network is noticed.
+// Dial opens a connection that fails if sent bytes remain unacknowledged for ackTimeout, so
+// that a peer that has lost its power or its network is detected.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:   dialTimeout,
-		KeepAlive: unackedFor / 2,
-		Control:   func(_, _ string, c syscall.RawConn) error { return breakSilent(c) },
+		KeepAlive: ackTimeout / 2,
+		Control:   func(_, _ string, c syscall.RawConn) error { return setAckTimeout(c) },
 	}
 	return d.DialContext(ctx, network, address)
 }
 
-func breakSilent(c syscall.RawConn) error {
-	var failed error
+func setAckTimeout(c syscall.RawConn) error {
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedFor.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
-// Add makes addresses known. Fixed ones are never forgotten.
-func (l *Linker) Add(fixed bool, addrs ...netip.AddrPort) {
+// Add adds addresses. Configured ones are never forgotten.
+func (l *Linker) Add(configured bool, addrs ...netip.AddrPort) {
 	for _, addr := range addrs {
 		t := l.targets[addr]
 		if t == nil {
 			t = &target{}
 			l.targets[addr] = t
 		}
-		t.fixed = t.fixed || fixed
+		t.configured = t.configured || configured
 	}
 }
 
@@ -111,21 +112,21 @@
 	return addrs
 }
 
-// DialDue dials what is not connected and due.
+// DialDue dials the addresses that are not connected and whose delay has passed.
 func (l *Linker) DialDue(now time.Time) {
 	for addr, t := range l.targets {
-		if t.busy || now.Before(t.next) {
+		if t.active || now.Before(t.nextDial) {
 			continue
 		}
-		t.busy = true
-		go l.link(addr)
+		t.active = true
+		go l.dial(addr)
 	}
 }
 
-func (l *Linker) link(addr netip.AddrPort) {
+func (l *Linker) dial(addr netip.AddrPort) {
 	connected := false
 	defer func() {
-		l.loop.Post(func(now time.Time) { l.unlinked(now, addr, connected) })
+		l.loop.Post(func(now time.Time) { l.scheduleRedial(now, addr, connected) })
 	}()
 	conn, err := connector.Dial(l.ctx, "ws://"+addr.String()+connector.Path, l.options)
 	if err != nil {
@@ -135,8 +136,9 @@
 	connected = l.Serve(conn)
 }
 
-// Serve passes on what a connection brings until it ends. It reports whether the
-// connection was taken. It must not be called on the control thread.
+// Serve passes the frames of a connection to the hooks until the connection ends. It
+// reports whether the Up hook accepted the connection. It must not be called on the
+// control thread.
 func (l *Linker) Serve(conn *connector.Conn) bool {
 	taken := false
 	l.loop.Call(func(now time.Time) { taken = l.hooks.Up(now, conn) })
@@ -153,17 +155,17 @@
 	return true
 }
 
-func (l *Linker) unlinked(now time.Time, addr netip.AddrPort, connected bool) {
+func (l *Linker) scheduleRedial(now time.Time, addr netip.AddrPort, connected bool) {
 	t := l.targets[addr]
-	t.busy = false
+	t.active = false
 	if connected {
 		t.failures = 0
 	}
-	pause := min(minRedial<<min(t.failures, 8), maxRedial)
+	delay := min(minDialDelay<<min(t.failures, 8), maxDialDelay)
 	t.failures++
-	if !t.fixed && t.failures > forgetAfter {
+	if !t.configured && t.failures > maxDialFailures {
 		delete(l.targets, addr)
 		return
 	}
-	t.next = now.Add(pause/2 + rand.N(pause))
+	t.nextDial = now.Add(delay/2 + rand.N(delay))
 }
