--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -45,10 +45,10 @@
 }
 
 const (
-	tickEvery = 50 * time.Millisecond
-	dialEvery = 250 * time.Millisecond
+	tickInterval = 50 * time.Millisecond
+	dialInterval = 250 * time.Millisecond
 	// flushPause is how long a drained agent keeps its connections.
-	flushPause = 250 * time.Millisecond
+	flushDelay = 250 * time.Millisecond
 )
 
 // Agent is a running agent.
@@ -139,13 +139,13 @@
 		return nil
 	}, func(error) { close(ended) })
 
-	a.timers.Subscribe(tickEvery, func(time.Time) {
+	a.timers.Subscribe(tickInterval, func(time.Time) {
 		a.loop.Post(func(now time.Time) {
 			a.guard.Tick(now)
 			a.follower.Tick(now)
 		})
 	})
-	a.timers.Subscribe(dialEvery, func(time.Time) { a.loop.Post(a.dialEntries) })
+	a.timers.Subscribe(dialInterval, func(time.Time) { a.loop.Post(a.dialEntries) })
 	a.loop.Post(a.dialEntries)
 	a.watchCertificates()
 	a.settings.Logger.Info().
@@ -177,43 +177,43 @@
 	})
 	deadline := time.Now().Add(a.settings.DrainTimeout)
 	for time.Now().Before(deadline) && !a.idle() {
-		time.Sleep(tickEvery)
+		time.Sleep(tickInterval)
 	}
-	a.bequeath(deadline)
+	a.transferRecords(deadline)
 	// The last results may still be on their way to the entries.
-	time.Sleep(flushPause)
+	time.Sleep(flushDelay)
 	a.stop()
 	return nil
 }
 
 // bequeathFor bounds how long an agent that leaves waits until another has its
 // records. It is chosen: pieces and the write of the roster take well under a second.
-const bequeathFor = 5 * time.Second
+const transferTimeout = 5 * time.Second
 
 // reconnectFor bounds how long it waits for an entry while none is connected.
-const reconnectFor = time.Second
+const reconnectTimeout = time.Second
 
 // bequeath passes the records on to another agent, at most until the given time.
-func (a *Agent) bequeath(deadline time.Time) {
-	if latest := time.Now().Add(bequeathFor); latest.Before(deadline) {
+func (a *Agent) transferRecords(deadline time.Time) {
+	if latest := time.Now().Add(transferTimeout); latest.Before(deadline) {
 		deadline = latest
 	}
-	alone := time.Now().Add(reconnectFor)
+	reconnectBy := time.Now().Add(reconnectTimeout)
 	for time.Now().Before(deadline) {
-		over, kept := true, false
+		finished, accepted := true, false
 		a.loop.Call(func(now time.Time) {
 			a.guard.TransferRecords(now)
-			over, kept = a.guard.RecordsTransferred()
-			over = over || len(a.conns) == 0 && now.After(alone)
+			finished, accepted = a.guard.RecordsTransferred()
+			finished = finished || len(a.conns) == 0 && now.After(reconnectBy)
 		})
-		if kept {
+		if accepted {
 			a.settings.Logger.Info().Str("event", "bequeathed").Msg("another agent has the records of this one")
 			return
 		}
-		if over {
+		if finished {
 			break
 		}
-		time.Sleep(tickEvery)
+		time.Sleep(tickInterval)
 	}
 	a.settings.Logger.Warn().Msg("no other agent has the records of this one; after a takeover older submissions are unknown")
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -13,7 +13,7 @@
 func (a *Agent) flushConfig(now time.Time) {
 	out := a.follower.Take(now)
 	if out.InForce != nil {
-		a.enforce(*out.InForce)
+		a.applyConfig(*out.InForce)
 	}
 	for _, s := range out.Sends {
 		if conn := a.conns[s.To]; conn != nil {
@@ -23,7 +23,7 @@
 }
 
 // enforce puts the settings of a version in force. It runs on the control thread.
-func (a *Agent) enforce(d applier.Document) {
+func (a *Agent) applyConfig(d applier.Document) {
 	settings, err := configurer.DecodeAgentSettings(d.Text)
 	if err != nil {
 		a.settings.Logger.Error().Err(err).Uint64("version", d.Number).Msg("the settings of a version cannot be read")
--- a/internal/agent/link.go
+++ b/internal/agent/connection.go
@@ -15,30 +15,30 @@
 	busy     bool      // busy means that the entry is connected or dialled.
 	fixed    bool      // fixed means that the address comes from the settings.
 	failures int       // failures counts the dials that failed since the last connection.
-	next     time.Time // next is when the address may be dialled again.
+	nextDial time.Time // next is when the address may be dialled again.
 }
 
 const (
-	minRedial = 250 * time.Millisecond
-	maxRedial = time.Second
+	minRedialDelay = 250 * time.Millisecond
+	maxRedialDelay = time.Second
 )
 
 // dialEntries dials the entries that are not connected. It runs on the control
 // thread; the dialling does not.
 func (a *Agent) dialEntries(now time.Time) {
 	for addr, t := range a.targets {
-		if t.busy || now.Before(t.next) {
+		if t.busy || now.Before(t.nextDial) {
 			continue
 		}
 		t.busy = true
-		go a.link(addr)
+		go a.connect(addr)
 	}
 }
 
 // unlinked plans the next dial of an address after a connection or a dial ended.
 // The pause doubles with every failure and is jittered, so that the agents of a
 // region do not dial an entry that is back all at once.
-func (a *Agent) unlinked(now time.Time, addr netip.AddrPort, connected bool) {
+func (a *Agent) scheduleRedial(now time.Time, addr netip.AddrPort, connected bool) {
 	t := a.targets[addr]
 	if t == nil {
 		return
@@ -47,9 +47,9 @@
 	if connected {
 		t.failures = 0
 	}
-	pause := min(minRedial<<min(t.failures, 8), maxRedial)
+	pause := min(minRedialDelay<<min(t.failures, 8), maxRedialDelay)
 	t.failures++
-	t.next = now.Add(pause/2 + rand.N(pause))
+	t.nextDial = now.Add(pause/2 + rand.N(pause))
 }
 
 // setRoutes replaces the entries that the agent dials by those that an entry has
@@ -70,10 +70,10 @@
 }
 
 // link connects to one entry and serves the connection until it ends.
-func (a *Agent) link(addr netip.AddrPort) {
+func (a *Agent) connect(addr netip.AddrPort) {
 	connected := false
 	defer func() {
-		a.loop.Post(func(now time.Time) { a.unlinked(now, addr, connected) })
+		a.loop.Post(func(now time.Time) { a.scheduleRedial(now, addr, connected) })
 	}()
 	conn, err := connector.Dial(a.background, a.entryURL(addr), connector.Options{
 		Hello:  a.hello,
@@ -103,7 +103,7 @@
 	err = conn.Run(func(f *messenger.Frame) {
 		a.loop.Post(func(now time.Time) { a.receive(now, entry, conn, f) })
 	})
-	a.loop.Post(func(now time.Time) { a.unlink(now, entry, conn, err) })
+	a.loop.Post(func(now time.Time) { a.disconnect(now, entry, conn, err) })
 }
 
 func (a *Agent) receive(now time.Time, entry messenger.Peer, conn *connector.Conn, f *messenger.Frame) {
@@ -123,7 +123,7 @@
 	a.guard.Receive(now, entry, f)
 }
 
-func (a *Agent) unlink(now time.Time, entry messenger.Peer, conn *connector.Conn, cause error) {
+func (a *Agent) disconnect(now time.Time, entry messenger.Peer, conn *connector.Conn, cause error) {
 	if a.conns[entry] != conn {
 		return
 	}
--- a/internal/agent/link_test.go
+++ b/internal/agent/connection_test.go
@@ -37,14 +37,14 @@
 	a := &Agent{targets: map[netip.AddrPort]*target{at: {busy: true}}}
 	now := time.Unix(1_700_000_000, 0)
 	for failure := range 10 {
-		a.unlinked(now, at, false)
-		mean := min(minRedial<<failure, maxRedial)
-		if pause := a.targets[at].next.Sub(now); pause < mean/2 || pause > mean*3/2 {
+		a.scheduleRedial(now, at, false)
+		mean := min(minRedialDelay<<failure, maxRedialDelay)
+		if pause := a.targets[at].nextDial.Sub(now); pause < mean/2 || pause > mean*3/2 {
 			t.Errorf("after failure %d the pause is %s, want %s to %s", failure, pause, mean/2, mean*3/2)
 		}
 	}
-	a.unlinked(now, at, true)
-	if pause := a.targets[at].next.Sub(now); pause > minRedial*3/2 {
-		t.Errorf("after a connection the pause is %s, want at most %s", pause, minRedial*3/2)
+	a.scheduleRedial(now, at, true)
+	if pause := a.targets[at].nextDial.Sub(now); pause > minRedialDelay*3/2 {
+		t.Errorf("after a connection the pause is %s, want at most %s", pause, minRedialDelay*3/2)
 	}
 }
--- a/internal/agent/secure.go
+++ b/internal/agent/secure.go
@@ -11,7 +11,7 @@
 )
 
 // certificateCheckEvery is the period at which the TLS files are read again.
-const certificateCheckEvery = 5 * time.Second
+const certificateCheckInterval = 5 * time.Second
 
 // secure wraps the listener for announcements in TLS if there are TLS settings
 // and it can be reached from other machines. The upstream beside the agent needs
@@ -43,7 +43,7 @@
 	if a.settings.TLS == nil {
 		return
 	}
-	a.timers.Subscribe(certificateCheckEvery, func(time.Time) {
+	a.timers.Subscribe(certificateCheckInterval, func(time.Time) {
 		changed, err := a.settings.TLS.Reload()
 		switch {
 		case err != nil:
--- a/internal/guard/link.go
+++ b/internal/guard/connection.go
@@ -8,25 +8,25 @@
 )
 
 // link is what the guard keeps for a connected entry.
-type link struct {
-	frame     *messenger.Frame // frame gathers what goes out at the next Take; nil if nothing does.
-	ping      uint64
-	echoed    uint64
-	prompt    bool      // prompt means that the entry waits for an echo alone.
-	owed      time.Time // owed is since when an echo is owed; zero if none is.
-	held      []heldResult
-	heldSince time.Time    // heldSince is when the oldest of held was added.
-	backlog   int          // backlog is how many tasks wait at the entry, as it last said.
-	raised    partitionSet // raised has the partitions whose epoch rose since the last contact.
+type connection struct {
+	frame        *messenger.Frame // frame gathers what goes out at the next Take; nil if nothing does.
+	ping         uint64
+	echoed       uint64
+	echoAtOnce   bool      // prompt means that the entry waits for an echo alone.
+	echoDueSince time.Time // owed is since when an echo is owed; zero if none is.
+	delayed      []delayedResult
+	delayedSince time.Time    // heldSince is when the oldest of held was added.
+	backlog      int          // backlog is how many tasks wait at the entry, as it last said.
+	raised       partitionSet // raised has the partitions whose epoch rose since the last contact.
 }
 
 // EntryUp adds a connection to an entry. Its first frame lists all epochs as
 // raised, because a hello may be older than the connection.
 func (g *Guard) EntryUp(_ time.Time, entry messenger.Peer) {
 	if _, ok := g.entries[entry]; !ok {
-		g.order = append(g.order, entry)
+		g.entryOrder = append(g.entryOrder, entry)
 	}
-	l := &link{}
+	l := &connection{}
 	g.entries[entry] = l
 	for p, epoch := range g.epochs {
 		if epoch > 0 {
@@ -34,7 +34,7 @@
 		}
 	}
 	g.dropWaiting(entry)
-	g.entryGone(entry)
+	g.releaseEntry(entry)
 	g.resources.credits.EntryUp(entry)
 	g.frameTo(entry).Capacity = g.capacity()
 }
@@ -43,15 +43,15 @@
 // dropped: the entry asks for the records when it is back.
 func (g *Guard) EntryDown(_ time.Time, entry messenger.Peer) {
 	delete(g.entries, entry)
-	for i, p := range g.order {
+	for i, p := range g.entryOrder {
 		if p == entry {
-			g.order = append(g.order[:i], g.order[i+1:]...)
+			g.entryOrder = append(g.entryOrder[:i], g.entryOrder[i+1:]...)
 			break
 		}
 	}
 	g.dropWaiting(entry)
-	g.entryGone(entry)
-	g.will.entryDown(entry)
+	g.releaseEntry(entry)
+	g.transfer.entryDown(entry)
 }
 
 // dropWaiting drops the waiting starts of an entry and frees their credits.
@@ -60,7 +60,7 @@
 		if p.from != entry {
 			return true
 		}
-		g.abandon(p)
+		g.releaseCredit(p)
 		return false
 	})
 }
@@ -76,8 +76,8 @@
 
 // sendResult sends a result to the holder of the submission's partition.
 func (g *Guard) sendResult(now time.Time, s identifier.Submission, result messenger.TaskResult) {
-	to := g.holders[s.Partition()]
-	if g.entries[to] != nil && !g.hold(now, to, s, result) {
+	to := g.resultReceivers[s.Partition()]
+	if g.entries[to] != nil && !g.delayResult(now, to, s, result) {
 		g.addResult(to, s, result)
 	}
 }
--- a/internal/guard/credit.go
+++ b/internal/guard/credit.go
@@ -18,7 +18,7 @@
 	credits *creditor.Creditor
 	running map[TaskRef]charge
 	// open counts the tasks of each submission that wait or run.
-	open map[identifier.Submission]int
+	unfinished map[identifier.Submission]int
 	// memory and accelerators are the sums over running.
 	memory       int64
 	accelerators int
@@ -32,7 +32,7 @@
 }
 
 func newResources(limits creditor.Limits) resources {
-	return resources{credits: creditor.New(limits), running: make(map[TaskRef]charge), open: make(map[identifier.Submission]int)}
+	return resources{credits: creditor.New(limits), running: make(map[TaskRef]charge), unfinished: make(map[identifier.Submission]int)}
 }
 
 // fits reports whether the upstream has the memory and accelerators for a task
@@ -52,7 +52,7 @@
 }
 
 // take charges a task that starts.
-func (g *Guard) take(p *pending) {
+func (g *Guard) chargeTask(p *pending) {
 	c := g.chargeOf(p)
 	g.resources.running[p.ref] = c
 	g.resources.memory += c.memory
@@ -60,23 +60,23 @@
 }
 
 // giveBack frees what a task that has ended took.
-func (g *Guard) giveBack(ref TaskRef) {
+func (g *Guard) releaseTask(ref TaskRef) {
 	c := g.resources.running[ref]
 	delete(g.resources.running, ref)
 	g.resources.memory -= c.memory
 	g.resources.accelerators -= c.accelerators
 	g.resources.credits.Ended(c.from)
-	g.close(ref.Submission)
+	g.countEnd(ref.Submission)
 }
 
 // abandon frees the credit of a start that waited and will not run.
-func (g *Guard) abandon(p *pending) {
+func (g *Guard) releaseCredit(p *pending) {
 	g.resources.credits.Ended(p.from)
-	g.close(p.ref.Submission)
+	g.countEnd(p.ref.Submission)
 }
 
 // entryGone frees the credits of an entry, but for those of its running tasks.
-func (g *Guard) entryGone(entry messenger.Peer) {
+func (g *Guard) releaseEntry(entry messenger.Peer) {
 	for ref, c := range g.resources.running {
 		if c.from == entry {
 			c.from = ""
@@ -103,9 +103,9 @@
 
 // accept lets a start wait for a slot. What waits is ordered by the work that is
 // left of its job and by its age.
-func (g *Guard) accept(now time.Time, p pending) {
+func (g *Guard) enqueue(now time.Time, p pending) {
 	g.resources.credits.Started(p.from)
-	g.resources.open[p.ref.Submission]++
+	g.resources.unfinished[p.ref.Submission]++
 	p.rank = p.start.RemainingWork + time.Duration(ageing*float64(g.Clock(now)))
 	g.waiting.insert(p)
 }
@@ -114,42 +114,42 @@
 const ageing = 0.25
 
 // close counts the end of a task that was accepted.
-func (g *Guard) close(s identifier.Submission) {
-	g.resources.open[s]--
-	if g.resources.open[s] <= 0 {
-		delete(g.resources.open, s)
+func (g *Guard) countEnd(s identifier.Submission) {
+	g.resources.unfinished[s]--
+	if g.resources.unfinished[s] <= 0 {
+		delete(g.resources.unfinished, s)
 	}
 }
 
 // hold keeps a result back while others of its job are to come from here and
 // reports whether it does. A failure is never held: it ends the job.
-func (g *Guard) hold(now time.Time, to messenger.Peer, s identifier.Submission, r messenger.TaskResult) bool {
-	if r.Kind != messenger.ResultDone || g.resources.open[s] == 0 || g.limits.MaxResultDelay <= 0 {
+func (g *Guard) delayResult(now time.Time, to messenger.Peer, s identifier.Submission, r messenger.TaskResult) bool {
+	if r.Kind != messenger.ResultDone || g.resources.unfinished[s] == 0 || g.limits.MaxResultDelay <= 0 {
 		return false
 	}
 	l := g.entries[to]
-	if len(l.held) == 0 {
-		l.heldSince = now
+	if len(l.delayed) == 0 {
+		l.delayedSince = now
 	}
-	l.held = append(l.held, heldResult{submission: s, result: r})
+	l.delayed = append(l.delayed, delayedResult{submission: s, result: r})
 	return true
 }
 
 // release adds held results to the frames that go out, and to one of their own
 // once they have been held for long enough or their job has no other task here.
-func (g *Guard) release(now time.Time) {
-	for _, entry := range g.order {
+func (g *Guard) sendDelayed(now time.Time) {
+	for _, entry := range g.entryOrder {
 		l := g.entries[entry]
-		if len(l.held) == 0 {
+		if len(l.delayed) == 0 {
 			continue
 		}
-		if l.frame == nil && !g.wanted(now, l) {
-			g.out.wakeBy(l.heldSince.Add(g.limits.MaxResultDelay))
+		if l.frame == nil && !g.delayedDue(now, l) {
+			g.out.wakeBy(l.delayedSince.Add(g.limits.MaxResultDelay))
 			continue
 		}
-		held := l.held
-		l.held = nil
-		for _, h := range held {
+		delayed := l.delayed
+		l.delayed = nil
+		for _, h := range delayed {
 			g.addResult(entry, h.submission, h.result)
 		}
 	}
@@ -157,29 +157,29 @@
 
 // wanted reports whether held results should go now: they are old, an echo goes
 // now anyway, or the entry waits for credit and the agent runs out of work.
-func (g *Guard) wanted(now time.Time, l *link) bool {
-	if now.Sub(l.heldSince) >= g.limits.MaxResultDelay || g.mustEcho(now, l) {
+func (g *Guard) delayedDue(now time.Time, l *connection) bool {
+	if now.Sub(l.delayedSince) >= g.limits.MaxResultDelay || g.echoDue(now, l) {
 		return true
 	}
 	if l.backlog == 0 {
 		return false
 	}
 	idle := g.waiting.len() == 0 && g.running < g.upstream.Slots
-	return idle || len(l.held) >= heldBatch && g.waiting.len() < g.upstream.Slots/lowWater
+	return idle || len(l.delayed) >= delayedBatch && g.waiting.len() < g.upstream.Slots/lowWaterDivisor
 }
 
 const (
 	// lowWater is the part of the slots for which starts must wait, so that an
 	// entry with a backlog need not hear of results.
-	lowWater = 2
+	lowWaterDivisor = 2
 	// heldBatch is how many results an entry with a backlog is sent together while
 	// no slot is idle.
-	heldBatch = 8
+	delayedBatch = 8
 )
 
 // receiveBacklog applies what a frame says about the sender's backlog. Starts
 // without such a word mean that there is none.
-func (g *Guard) receiveBacklog(l *link, f *messenger.Frame) {
+func (g *Guard) receiveBacklog(l *connection, f *messenger.Frame) {
 	switch {
 	case f.Credit != nil:
 		l.backlog = f.Credit.Backlog
@@ -189,7 +189,7 @@
 }
 
 // heldResult is a result that waits for others of its job.
-type heldResult struct {
+type delayedResult struct {
 	submission identifier.Submission
 	result     messenger.TaskResult
 }
--- a/internal/guard/hold_test.go
+++ b/internal/guard/echo_test.go
@@ -15,15 +15,15 @@
 )
 
 // holder is a guard with one entry whose echoes and results may wait.
-type holder struct {
+type delayRun struct {
 	guard *Guard
 	now   time.Time
 	id    identifier.Submission
 	ping  uint64
 }
 
-func newHolder() *holder {
-	h := &holder{now: time.Unix(1_700_000_000, 0)}
+func newDelayRun() *delayRun {
+	h := &delayRun{now: time.Unix(1_700_000_000, 0)}
 	h.id = identifier.New(h.now)
 	h.guard = New(h.now, Limits{
 		Window: time.Minute, MaxRecordBytes: 1 << 20, MaxWaiting: 10,
@@ -40,13 +40,13 @@
 }
 
 // receive applies a frame with a ping.
-func (h *holder) receive(f *messenger.Frame) {
+func (h *delayRun) receive(f *messenger.Frame) {
 	h.ping++
 	f.Contact = &messenger.Contact{Ping: h.ping}
 	h.guard.Receive(h.now, "entry", f)
 }
 
-func (h *holder) start(tasks ...uint16) {
+func (h *delayRun) start(tasks ...uint16) {
 	s := messenger.Start{Submission: h.id, Epoch: 1, StartBy: time.Minute, EndBy: time.Minute}
 	for _, index := range tasks {
 		s.Tasks = append(s.Tasks, messenger.TaskStart{Index: index})
@@ -54,12 +54,12 @@
 	h.receive(&messenger.Frame{Starts: []messenger.Start{s}})
 }
 
-func (h *holder) end(index uint16, kind messenger.ResultKind) {
+func (h *delayRun) end(index uint16, kind messenger.ResultKind) {
 	h.guard.Ended(h.now, TaskRef{Submission: h.id, Index: index}, messenger.TaskResult{Index: index, Kind: kind})
 }
 
 // take lets time pass and returns what goes out and how long until the next wake-up.
-func (h *holder) take(after time.Duration) string {
+func (h *delayRun) take(after time.Duration) string {
 	h.now = h.now.Add(after)
 	out := h.guard.Take(h.now)
 	text := ""
@@ -78,40 +78,40 @@
 }
 
 // TestWaiting checks what waits for company, for how long, and what does not.
-func TestWaiting(t *testing.T) {
+func TestDelayedSends(t *testing.T) {
 	var got []string
-	see := func(text string) { got = append(got, text) }
+	record := func(text string) { got = append(got, text) }
 
-	h := newHolder()
+	h := newDelayRun()
 	h.start(0, 1, 2)
-	see(h.take(0))
-	see(h.take(10 * time.Millisecond))
+	record(h.take(0))
+	record(h.take(10 * time.Millisecond))
 	h.end(0, messenger.ResultDone)
-	see(h.take(0))
+	record(h.take(0))
 	h.end(1, messenger.ResultDone)
-	see(h.take(time.Millisecond))
-	see(h.take(time.Millisecond))
+	record(h.take(time.Millisecond))
+	record(h.take(time.Millisecond))
 	h.end(2, messenger.ResultDone)
-	see(h.take(0))
+	record(h.take(0))
 
 	h.receive(&messenger.Frame{})
-	see("ping alone: " + h.take(0))
+	record("ping alone: " + h.take(0))
 
-	h = newHolder()
+	h = newDelayRun()
 	h.start(0, 1)
 	h.end(0, messenger.ResultFailed)
-	see("failed: " + h.take(0))
+	record("failed: " + h.take(0))
 
-	h = newHolder()
+	h = newDelayRun()
 	h.start(0)
-	see("slow task: " + h.take(249*time.Millisecond))
-	see("slow task: " + h.take(time.Millisecond))
+	record("slow task: " + h.take(249*time.Millisecond))
+	record("slow task: " + h.take(time.Millisecond))
 
-	h = newHolder()
+	h = newDelayRun()
 	h.start(0, 1)
-	see("echo due: " + h.take(249*time.Millisecond))
+	record("echo due: " + h.take(249*time.Millisecond))
 	h.end(0, messenger.ResultDone)
-	see("echo due: " + h.take(time.Millisecond))
+	record("echo due: " + h.take(time.Millisecond))
 
 	want := []string{
 		"wake in 250ms",
--- a/internal/guard/epochs.go
+++ b/internal/guard/epochs.go
@@ -10,7 +10,7 @@
 // admit applies that the agent is part of the roster. Holders stay as they are:
 // an admission says nothing about who the owners are.
 func (g *Guard) admit(now time.Time, a *messenger.Admit) {
-	g.admitted = !g.expelled && !g.will.made
+	g.admitted = !g.expelled && !g.transfer.started
 	for p, epoch := range a.Epochs[:min(len(a.Epochs), identifier.Partitions)] {
 		g.raise(identifier.Partition(p), epoch)
 	}
@@ -39,10 +39,10 @@
 		answer := messenger.Fenced{Partition: p.Partition}
 		if !g.Rules.StaleEpoch(p.Epoch, g.epochs[p.Partition]) {
 			g.raise(p.Partition, p.Epoch)
-			g.holders[p.Partition] = from
+			g.resultReceivers[p.Partition] = from
 			if g.Rules.ReportRecords() {
-				answer.Records = append(g.records.of(p.Partition, f.UnsettledOnly),
-					g.adopted.of(p.Partition, f.UnsettledOnly)...)
+				answer.Records = append(g.records.messages(p.Partition, f.UnsettledOnly),
+					g.transferred.messages(p.Partition, f.UnsettledOnly)...)
 			}
 		}
 		answer.Epoch = g.epochs[p.Partition]
@@ -57,13 +57,13 @@
 		return
 	}
 	g.epochs[p] = epoch
-	for _, entry := range g.order {
+	for _, entry := range g.entryOrder {
 		g.entries[entry].raised.add(p)
 	}
 }
 
 // takeRaised returns what the connection has not been told and clears it.
-func (g *Guard) takeRaised(l *link) []messenger.PartitionEpoch {
+func (g *Guard) takeRaised(l *connection) []messenger.PartitionEpoch {
 	if l.raised.empty() {
 		return nil
 	}
@@ -105,7 +105,7 @@
 			refusal = messenger.RefusalStaleEpoch
 		}
 		g.refuse(p, refusal)
-		g.abandon(p)
+		g.releaseCredit(p)
 		return false
 	})
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -86,19 +86,19 @@
 	limits  Limits
 	started time.Time // started is the zero of the agent's clock.
 
-	upstream invoker.Announcement
-	expires  time.Time // expires is when the announcement lapses; zero if there is none.
-	state    messenger.UpstreamState
-
-	admitted bool // admitted means that the agent is part of the roster.
-	expelled bool // expelled means that an operator declared the agent dead; it never ends.
-	epochs   [identifier.Partitions]uint64
-	holders  [identifier.Partitions]messenger.Peer // holders has who gets the results of a partition.
-	records  *recordTable
-	adopted  *recordTable // adopted has the records of agents that left, of which this one is the heir.
-	will     will
-	entries  map[messenger.Peer]*link
-	order    []messenger.Peer // order lists the connected entries in order of arrival.
+	upstream           invoker.Announcement
+	announcementExpiry time.Time // expires is when the announcement lapses; zero if there is none.
+	state              messenger.UpstreamState
+
+	admitted        bool // admitted means that the agent is part of the roster.
+	expelled        bool // expelled means that an operator declared the agent dead; it never ends.
+	epochs          [identifier.Partitions]uint64
+	resultReceivers [identifier.Partitions]messenger.Peer // holders has who gets the results of a partition.
+	records         *recordTable
+	transferred     *recordTable // adopted has the records of agents that left, of which this one is the heir.
+	transfer        recordTransfer
+	entries         map[messenger.Peer]*connection
+	entryOrder      []messenger.Peer // order lists the connected entries in order of arrival.
 
 	resources resources
 	waiting   startQueue
@@ -112,13 +112,13 @@
 // agent's clock.
 func New(now time.Time, limits Limits) *Guard {
 	return &Guard{
-		limits:  limits,
-		started: now,
-		state:   messenger.UpstreamAbsent,
-		records: newRecordTable(limits.MaxRecordBytes),
-		adopted: newRecordTable(limits.MaxRecordBytes),
-		entries: make(map[messenger.Peer]*link),
-		Rules:   DefaultRules(),
+		limits:      limits,
+		started:     now,
+		state:       messenger.UpstreamAbsent,
+		records:     newRecordTable(limits.MaxRecordBytes),
+		transferred: newRecordTable(limits.MaxRecordBytes),
+		entries:     make(map[messenger.Peer]*connection),
+		Rules:       DefaultRules(),
 
 		resources: newResources(limits.Credits),
 	}
@@ -136,8 +136,8 @@
 // Held returns the number of results that wait to be sent with others.
 func (g *Guard) DelayedResults() int {
 	n := 0
-	for _, entry := range g.order {
-		n += len(g.entries[entry].held)
+	for _, entry := range g.entryOrder {
+		n += len(g.entries[entry].delayed)
 	}
 	return n
 }
@@ -150,7 +150,7 @@
 
 // Records returns the number of records and the bytes that they take.
 func (g *Guard) Records() (count, bytes int) {
-	return g.records.count + g.adopted.count, g.records.bytes + g.adopted.bytes
+	return g.records.count + g.transferred.count, g.records.bytes + g.transferred.bytes
 }
 
 // Receive applies a frame from an entry.
@@ -159,7 +159,7 @@
 	if l == nil {
 		return
 	}
-	l.contact(now, f)
+	l.recordPing(now, f)
 	if f.Admit != nil {
 		g.admit(now, f.Admit)
 	}
@@ -167,10 +167,10 @@
 		g.expel(now)
 	}
 	for i := range f.RecordTransfers {
-		g.adopt(now, from, &f.RecordTransfers[i])
+		g.receiveTransfer(now, from, &f.RecordTransfers[i])
 	}
 	for i := range f.RecordTransferStatuses {
-		g.bequeathed(from, &f.RecordTransferStatuses[i])
+		g.applyTransferStatus(from, &f.RecordTransferStatuses[i])
 	}
 	if f.Fence != nil {
 		g.fence(now, from, f.Fence)
@@ -190,21 +190,21 @@
 
 // Tick applies the passing of time.
 func (g *Guard) Tick(now time.Time) {
-	if g.state == messenger.UpstreamServing && now.After(g.expires) {
+	if g.state == messenger.UpstreamServing && now.After(g.announcementExpiry) {
 		g.state = messenger.UpstreamAbsent
 		g.broadcastCapacity()
 	}
 	g.refuseWaiting(now)
 	g.startWaiting(now)
-	g.records.release(g.Clock(now), g.limits.RetainBytes)
-	g.records.forget(g.Clock(now), g.limits.Window)
-	g.adopted.forget(g.Clock(now), g.limits.Window)
+	g.records.releaseRetained(g.Clock(now), g.limits.RetainBytes)
+	g.records.expire(g.Clock(now), g.limits.Window)
+	g.transferred.expire(g.Clock(now), g.limits.Window)
 }
 
 // Ended applies the end of a call of the upstream.
 func (g *Guard) Ended(now time.Time, ref TaskRef, result messenger.TaskResult) {
 	g.running--
-	g.giveBack(ref)
+	g.releaseTask(ref)
 	if r := g.records.get(ref.Submission.Partition(), ref.Submission); r != nil {
 		g.records.bytes += r.end(g.Clock(now), result)
 	}
@@ -214,21 +214,21 @@
 
 // Take returns what is to be done and clears it.
 func (g *Guard) Take(now time.Time) Output {
-	g.release(now)
+	g.sendDelayed(now)
 	g.addCredits()
-	for _, entry := range g.order {
+	for _, entry := range g.entryOrder {
 		l := g.entries[entry]
 		if l.frame == nil && l.ping == l.echoed {
 			continue
 		}
-		l.owe(now)
-		if until, ok := g.waits(now, l); ok {
+		l.markEchoDue(now)
+		if until, ok := g.echoDelay(now, l); ok {
 			g.out.wakeBy(until)
 			continue
 		}
 		f := g.frameTo(entry)
 		f.Contact = &messenger.Contact{Echo: l.ping, Clock: g.Clock(now), Raised: g.takeRaised(l)}
-		l.paid()
+		l.clearSent()
 		g.out.Sends = append(g.out.Sends, Send{To: entry, Frame: f})
 	}
 	out := g.out
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -25,7 +25,7 @@
 }
 
 // bench drives one guard with the lines of a script.
-type bench struct {
+type scriptRun struct {
 	t     *testing.T
 	guard *Guard
 	now   time.Time
@@ -37,7 +37,7 @@
 
 func runScript(t *testing.T, lines []scripter.Line, random io.Reader) string {
 	start := time.Unix(1_700_000_000, 0)
-	b := &bench{
+	b := &scriptRun{
 		t:     t,
 		guard: New(start, testLimits),
 		now:   start,
@@ -52,7 +52,7 @@
 	return b.out.String()
 }
 
-func (b *bench) apply(l scripter.Line) {
+func (b *scriptRun) apply(l scripter.Line) {
 	switch l.Verb {
 	case "up":
 		b.guard.EntryUp(b.now, messenger.Peer(l.Args[0]))
@@ -101,7 +101,7 @@
 	}
 }
 
-func (b *bench) start(l scripter.Line) messenger.Start {
+func (b *scriptRun) start(l scripter.Line) messenger.Start {
 	startBy := b.guard.Clock(b.now) + scripter.Duration(b.t, l.Arg("budget"))
 	s := messenger.Start{
 		Submission: b.id(l.Arg("job")),
@@ -118,7 +118,7 @@
 }
 
 // report writes what the guard wants done after a line.
-func (b *bench) report(l scripter.Line) {
+func (b *scriptRun) report(l scripter.Line) {
 	fmt.Fprintf(&b.out, "%s %s\n", l.Verb, strings.Join(l.Args, " "))
 	out := b.guard.Take(b.now)
 	for _, i := range out.Invocations {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (b *bench) reportFrame(s Send) {
+func (b *scriptRun) reportFrame(s Send) {
 	if c := s.Frame.Capacity; c != nil {
 		fmt.Fprintf(&b.out, "  to %s: capacity %s slots=%d\n", s.To, c.State, c.Slots)
 	}
@@ -157,7 +157,7 @@
 }
 
 // id returns the submission id that stands for a name in a script.
-func (b *bench) id(name string) identifier.Submission {
+func (b *scriptRun) id(name string) identifier.Submission {
 	if id, ok := b.ids[name]; ok {
 		return id
 	}
@@ -175,7 +175,7 @@
 	return id
 }
 
-func (b *bench) number(text string) int {
+func (b *scriptRun) number(text string) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
 		b.t.Fatal(err)
--- a/internal/guard/queue.go
+++ b/internal/guard/queue.go
@@ -72,7 +72,7 @@
 		refusal := g.check(now, p)
 		if refusal != "" {
 			g.refuse(p, refusal)
-			g.abandon(p)
+			g.releaseCredit(p)
 		}
 		return refusal == ""
 	})
--- a/internal/guard/record.go
+++ b/internal/guard/record.go
@@ -33,7 +33,7 @@
 
 // record is what the guard remembers of one submission.
 type record struct {
-	used      time.Duration          // used is the agent's clock at the last event; the window counts from it.
+	lastUsed  time.Duration          // used is the agent's clock at the last event; the window counts from it.
 	started   taskSet                // started has every task that was ever started.
 	running   []uint16               // running has the tasks that started and have not ended.
 	ended     []messenger.TaskResult // ended has the results; it is nil once settled.
@@ -41,19 +41,19 @@
 	service   string                 // service is shared between records.
 	digest    uint64
 	cancelled bool // cancelled bars every further start.
-	known     bool // known means that the owner has said that it has the results.
+	acked     bool // known means that the owner has said that it has the results.
 	settled   bool // settled means that the results were dropped after that.
 }
 
 func (r *record) start(clock time.Duration, index uint16) {
-	r.used = clock
+	r.lastUsed = clock
 	r.started.add(index)
 	r.running = append(r.running, index)
 }
 
 // end records the end of a task and returns the bytes that its result takes.
 func (r *record) end(clock time.Duration, result messenger.TaskResult) int {
-	r.used = clock
+	r.lastUsed = clock
 	if i := slices.Index(r.running, result.Index); i >= 0 {
 		r.running = slices.Delete(r.running, i, i+1)
 	}
--- a/internal/guard/records.go
+++ b/internal/guard/records.go
@@ -71,7 +71,7 @@
 	if t.partitions[p] == nil {
 		t.partitions[p] = make(map[identifier.Submission]*record)
 	}
-	r := &record{used: clock}
+	r := &record{lastUsed: clock}
 	t.partitions[p][id] = r
 	t.count++
 	t.bytes += recordBytes
@@ -80,7 +80,7 @@
 }
 
 // describe keeps what a start says about its submission.
-func (t *recordTable) describe(r *record, s *messenger.Start) {
+func (t *recordTable) setRequest(r *record, s *messenger.Start) {
 	if r.service != "" {
 		return
 	}
@@ -103,7 +103,7 @@
 
 // release drops the retained results whose time has passed, and the oldest of
 // the others beyond the limit.
-func (t *recordTable) release(clock time.Duration, limitBytes int) {
+func (t *recordTable) releaseRetained(clock time.Duration, limitBytes int) {
 	n := 0
 	for n < len(t.retained) && (t.retained[n].until <= clock || t.retainedBytes > limitBytes) {
 		kept := t.retained[n]
@@ -117,7 +117,7 @@
 }
 
 // forget drops the records that were not used within the window.
-func (t *recordTable) forget(clock, window time.Duration) {
+func (t *recordTable) expire(clock, window time.Duration) {
 	for t.head < len(t.queue) && t.queue[t.head].at < clock {
 		e := t.queue[t.head]
 		t.head++
@@ -126,7 +126,7 @@
 		switch {
 		case len(r.running) > 0:
 			t.queue = append(t.queue, expiry{id: e.id, at: clock + window})
-		case r.used+window >= clock:
+		case r.lastUsed+window >= clock:
 			t.queue = append(t.queue, expiry{id: e.id, at: clock + window})
 		default:
 			t.bytes -= recordBytes + len(r.key) + r.settle()
@@ -141,10 +141,10 @@
 }
 
 // of returns the records of one partition in the order of their ids.
-func (t *recordTable) of(p identifier.Partition, unsettledOnly bool) []messenger.Record {
+func (t *recordTable) messages(p identifier.Partition, unsettledOnly bool) []messenger.Record {
 	var out []messenger.Record
 	for id, r := range t.partitions[p] {
-		if unsettledOnly && r.known && len(r.running) == 0 {
+		if unsettledOnly && r.acked && len(r.running) == 0 {
 			continue
 		}
 		out = append(out, r.message(messenger.Record{Submission: id}))
--- a/internal/guard/rules.go
+++ b/internal/guard/rules.go
@@ -61,9 +61,9 @@
 		return messenger.RefusalExpired
 	case g.state == messenger.UpstreamLeaving:
 		return messenger.RefusalLeaving
-	case g.state == messenger.UpstreamAbsent || now.After(g.expires):
+	case g.state == messenger.UpstreamAbsent || now.After(g.announcementExpiry):
 		return messenger.RefusalLapsed
-	case g.records.full(r == nil, g.adopted.bytes):
+	case g.records.full(r == nil, g.transferred.bytes):
 		return messenger.RefusalMemory
 	}
 	return ""
--- a/internal/guard/start.go
+++ b/internal/guard/start.go
@@ -24,8 +24,8 @@
 			continue
 		}
 		g.raise(s.Submission.Partition(), s.Epoch)
-		g.holders[s.Submission.Partition()] = from
-		g.accept(now, p)
+		g.resultReceivers[s.Submission.Partition()] = from
+		g.enqueue(now, p)
 	}
 }
 
@@ -36,7 +36,7 @@
 		p := g.waiting.first()
 		if refusal := g.check(now, p); refusal != "" {
 			g.refuse(p, refusal)
-			g.abandon(p)
+			g.releaseCredit(p)
 			g.waiting.pop()
 			continue
 		}
@@ -51,10 +51,10 @@
 // run records the start of a task and asks for the call.
 func (g *Guard) run(now time.Time, p *pending) {
 	r := g.records.add(g.Clock(now), g.limits.Window, p.ref.Submission)
-	g.records.describe(r, p.start)
+	g.records.setRequest(r, p.start)
 	r.start(g.Clock(now), p.ref.Index)
 	g.running++
-	g.take(p)
+	g.chargeTask(p)
 	g.out.Invocations = append(g.out.Invocations, Invocation{
 		Ref:     p.ref,
 		Path:    p.start.Path,
@@ -79,7 +79,7 @@
 	}
 	r := g.records.add(g.Clock(now), g.limits.Window, c.Submission)
 	r.cancelled = true
-	r.used = g.Clock(now)
+	r.lastUsed = g.Clock(now)
 	for _, index := range r.running {
 		g.out.Aborts = append(g.out.Aborts, TaskRef{Submission: c.Submission, Index: index})
 	}
@@ -92,10 +92,10 @@
 
 func (g *Guard) settle(now time.Time, s *messenger.Settlement) {
 	r := g.records.get(s.Submission.Partition(), s.Submission)
-	if r == nil || r.known {
+	if r == nil || r.acked {
 		return
 	}
-	r.known = true
+	r.acked = true
 	g.records.retain(s.Submission, g.Clock(now)+g.limits.RetainFor, r.resultBytes())
-	g.records.release(g.Clock(now), g.limits.RetainBytes)
+	g.records.releaseRetained(g.Clock(now), g.limits.RetainBytes)
 }
--- a/internal/guard/will.go
+++ b/internal/guard/transfer.go
@@ -13,17 +13,17 @@
 
 // will is the passing of this agent's records to an heir when it leaves. Once it is
 // made, the agent starts nothing any more: what it passes on must be all.
-type will struct {
-	made    bool
-	over    bool           // over means that an heir has all, or that there is none.
-	kept    bool           // kept means that an heir has all.
-	entry   messenger.Peer // entry passes the pieces on; empty while none was asked.
-	attempt int            // attempt counts how often the passing was begun.
-	pieces  []messenger.RecordTransfer
+type recordTransfer struct {
+	started  bool
+	finished bool           // over means that an heir has all, or that there is none.
+	accepted bool           // kept means that an heir has all.
+	entry    messenger.Peer // entry passes the pieces on; empty while none was asked.
+	attempt  int            // attempt counts how often the passing was begun.
+	pieces   []messenger.RecordTransfer
 }
 
 // entryDown begins anew if the entry has gone that passes the pieces on.
-func (w *will) entryDown(entry messenger.Peer) {
+func (w *recordTransfer) entryDown(entry messenger.Peer) {
 	if w.entry == entry {
 		w.entry = ""
 	}
@@ -32,34 +32,36 @@
 // Bequeath passes the records on, through the first entry that is connected. It must
 // be called again until [Guard.Bequeathed]; it does nothing while a task runs or waits.
 func (g *Guard) TransferRecords(_ time.Time) {
-	if g.running+g.waiting.len() > 0 || g.will.over || g.will.entry != "" {
+	if g.running+g.waiting.len() > 0 || g.transfer.finished || g.transfer.entry != "" {
 		return
 	}
-	if !g.admitted && !g.will.made {
-		g.will.over = true // Nothing can have started here.
+	if !g.admitted && !g.transfer.started {
+		g.transfer.finished = true // Nothing can have started here.
 		return
 	}
-	g.will.made = true
+	g.transfer.started = true
 	g.admitted = false
-	if len(g.order) == 0 {
+	if len(g.entryOrder) == 0 {
 		return
 	}
-	g.will.entry = g.order[0]
-	g.will.attempt++
-	g.will.pieces = g.divide()
+	g.transfer.entry = g.entryOrder[0]
+	g.transfer.attempt++
+	g.transfer.pieces = g.splitRecords()
 	g.sendPiece(0)
 }
 
 // Bequeathed reports whether the passing of the records is over, and whether an heir
 // has them.
-func (g *Guard) RecordsTransferred() (over, kept bool) { return g.will.over, g.will.kept }
+func (g *Guard) RecordsTransferred() (finished, accepted bool) {
+	return g.transfer.finished, g.transfer.accepted
+}
 
 // divide returns all records in pieces.
-func (g *Guard) divide() []messenger.RecordTransfer {
+func (g *Guard) splitRecords() []messenger.RecordTransfer {
 	pieces := []messenger.RecordTransfer{{}}
 	size := 0
 	for p := range identifier.Partition(identifier.Partitions) {
-		for _, r := range append(g.records.of(p, false), g.adopted.of(p, false)...) {
+		for _, r := range append(g.records.messages(p, false), g.transferred.messages(p, false)...) {
 			n := messageBytes(&r)
 			if size > 0 && size+n > maxPieceBytes {
 				pieces = append(pieces, messenger.RecordTransfer{Piece: len(pieces)})
@@ -85,21 +87,21 @@
 }
 
 func (g *Guard) sendPiece(i int) {
-	f := g.frameTo(g.will.entry)
-	piece := g.will.pieces[i]
-	piece.Attempt = g.will.attempt
+	f := g.frameTo(g.transfer.entry)
+	piece := g.transfer.pieces[i]
+	piece.Attempt = g.transfer.attempt
 	f.RecordTransfers = append(f.RecordTransfers, piece)
 }
 
 // bequeathed applies what an entry says about the pieces.
-func (g *Guard) bequeathed(from messenger.Peer, m *messenger.RecordTransferStatus) {
+func (g *Guard) applyTransferStatus(from messenger.Peer, m *messenger.RecordTransferStatus) {
 	switch {
-	case from != g.will.entry || m.Attempt != g.will.attempt:
+	case from != g.transfer.entry || m.Attempt != g.transfer.attempt:
 	case m.Done, m.Refused:
-		g.will.over = true
-		g.will.kept = m.Done
-		g.will.pieces = nil
-	case m.Pieces > 0 && m.Pieces < len(g.will.pieces):
+		g.transfer.finished = true
+		g.transfer.accepted = m.Done
+		g.transfer.pieces = nil
+	case m.Pieces > 0 && m.Pieces < len(g.transfer.pieces):
 		g.sendPiece(m.Pieces)
 	}
 }
@@ -107,13 +109,13 @@
 // adopt takes a piece of the records of an agent that leaves, and says so. An agent
 // that leaves itself takes none, since its own pieces may be under way; nor does one
 // whose memory for records is full.
-func (g *Guard) adopt(now time.Time, from messenger.Peer, m *messenger.RecordTransfer) {
+func (g *Guard) receiveTransfer(now time.Time, from messenger.Peer, m *messenger.RecordTransfer) {
 	answer := messenger.RecordTransferStatus{Agent: m.Agent, Attempt: m.Attempt, Pieces: m.Piece + 1}
-	if g.will.made || g.expelled || g.records.full(true, g.adopted.bytes) {
+	if g.transfer.started || g.expelled || g.records.full(true, g.transferred.bytes) {
 		answer.Refused = true
 	} else {
 		for i := range m.Records {
-			g.adoptRecord(g.Clock(now), &m.Records[i])
+			g.mergeRecord(g.Clock(now), &m.Records[i])
 		}
 	}
 	f := g.frameTo(from)
@@ -122,19 +124,19 @@
 
 // adoptRecord joins a record with what other agents have left of the submission. Where
 // the results of one are gone, the answer cannot be complete; those of the others go.
-func (g *Guard) adoptRecord(clock time.Duration, m *messenger.Record) {
-	r := g.adopted.add(clock, g.limits.Window, m.Submission)
-	r.used = clock
+func (g *Guard) mergeRecord(clock time.Duration, m *messenger.Record) {
+	r := g.transferred.add(clock, g.limits.Window, m.Submission)
+	r.lastUsed = clock
 	r.cancelled = r.cancelled || m.Cancelled
-	g.adopted.describe(r, &messenger.Start{Service: m.Service, RequestKey: m.RequestKey, Digest: m.Digest})
+	g.transferred.setRequest(r, &messenger.Start{Service: m.Service, RequestKey: m.RequestKey, Digest: m.Digest})
 	for i := range m.Ended {
 		if t := m.Ended[i]; t.Index < maxTasks && !r.started.has(t.Index) {
 			r.started.add(t.Index)
-			g.adopted.bytes += r.end(clock, t)
+			g.transferred.bytes += r.end(clock, t)
 		}
 	}
 	if m.Settled {
-		g.adopted.bytes -= r.settle()
-		r.known = true
+		g.transferred.bytes -= r.settle()
+		r.acked = true
 	}
 }
--- a/internal/guard/will_test.go
+++ b/internal/guard/transfer_test.go
@@ -14,7 +14,7 @@
 
 // passOn carries pieces and answers between an agent and its heir until neither has
 // anything to say. It returns the number of pieces and their encoded bytes.
-func passOn(t *testing.T, from, heir *Guard) (pieces, size int) {
+func transferAll(t *testing.T, from, successor *Guard) (pieces, size int) {
 	t.Helper()
 	from.TransferRecords(benchStart)
 	for {
@@ -31,8 +31,8 @@
 		}
 		pieces += len(next)
 		size += buf.Len()
-		heir.Receive(benchStart, benchEntry, &messenger.Frame{RecordTransfers: next})
-		for _, s := range heir.Take(benchStart).Sends {
+		successor.Receive(benchStart, benchEntry, &messenger.Frame{RecordTransfers: next})
+		for _, s := range successor.Take(benchStart).Sends {
 			from.Receive(benchStart, benchEntry, &messenger.Frame{RecordTransferStatuses: s.Frame.RecordTransferStatuses})
 		}
 	}
@@ -42,9 +42,9 @@
 // in messages and at the heir.
 func TestBequestBytes(t *testing.T) {
 	const records = 100_000
-	from, heir := loadedGuard(records), loadedGuard(0)
-	pieces, size := passOn(t, from, heir)
-	count, held := heir.Records()
+	from, successor := loadedGuard(records), loadedGuard(0)
+	pieces, size := transferAll(t, from, successor)
+	count, held := successor.Records()
 	if count != records {
 		t.Fatalf("the heir has %d records, want %d", count, records)
 	}
@@ -56,8 +56,8 @@
 
 // TestHeirAnswersForTheOther compares what a fence gets from the heir with what it got
 // from the agent that has left.
-func TestHeirAnswersForTheOther(t *testing.T) {
-	from, heir := loadedGuard(3), loadedGuard(0)
+func TestSuccessorAnswersFences(t *testing.T) {
+	from, successor := loadedGuard(3), loadedGuard(0)
 	running := benchID(7)
 	from.Receive(benchStart, benchEntry, startFrame(running, 4))
 	from.TransferRecords(benchStart)
@@ -67,8 +67,8 @@
 		}
 	}
 	from.Ended(benchStart, TaskRef{Submission: running, Index: 4}, messenger.TaskResult{Index: 4, Kind: messenger.ResultDone, Payload: []byte("1")})
-	passOn(t, from, heir)
-	if diff := cmp.Diff(fencedRecords(from), fencedRecords(heir), cmpopts.EquateEmpty()); diff != "" {
+	transferAll(t, from, successor)
+	if diff := cmp.Diff(fencedRecords(from), fencedRecords(successor), cmpopts.EquateEmpty()); diff != "" {
 		t.Errorf("records (-agent +heir):\n%s", diff)
 	}
 	from.Receive(benchStart, benchEntry, startFrame(benchID(9), 0))
@@ -76,9 +76,9 @@
 		t.Error("an agent starts a task after it has passed its records on")
 	}
 	// The agent has left; its heir takes nothing while it leaves itself.
-	heir.TransferRecords(benchStart)
-	heir.Receive(benchStart, benchEntry, &messenger.Frame{RecordTransfers: []messenger.RecordTransfer{{Agent: "other"}}})
-	for _, s := range heir.Take(benchStart).Sends {
+	successor.TransferRecords(benchStart)
+	successor.Receive(benchStart, benchEntry, &messenger.Frame{RecordTransfers: []messenger.RecordTransfer{{Agent: "other"}}})
+	for _, s := range successor.Take(benchStart).Sends {
 		for _, m := range s.Frame.RecordTransferStatuses {
 			if !m.Refused {
 				t.Error("an agent that leaves takes the records of another")
@@ -91,23 +91,23 @@
 func fencedRecords(g *Guard) []messenger.Record {
 	var out []messenger.Record
 	for p := range identifier.Partition(identifier.Partitions) {
-		out = append(out, g.records.of(p, false)...)
-		out = append(out, g.adopted.of(p, false)...)
+		out = append(out, g.records.messages(p, false)...)
+		out = append(out, g.transferred.messages(p, false)...)
 	}
 	return out
 }
 
 // TestAdoptedAreForgotten checks that an heir keeps records for the window alone.
-func TestAdoptedAreForgotten(t *testing.T) {
-	from, heir := loadedGuard(10), loadedGuard(0)
-	passOn(t, from, heir)
-	heir.Tick(benchStart.Add(time.Hour))
-	if n, _ := heir.Records(); n != 10 {
+func TestTransferredRecordsExpire(t *testing.T) {
+	from, successor := loadedGuard(10), loadedGuard(0)
+	transferAll(t, from, successor)
+	successor.Tick(benchStart.Add(time.Hour))
+	if n, _ := successor.Records(); n != 10 {
 		t.Errorf("%d records within the window, want 10", n)
 	}
-	heir.Tick(benchStart.Add(time.Hour + time.Second))
-	heir.Tick(benchStart.Add(2*time.Hour + 2*time.Second))
-	if n, size := heir.Records(); n != 0 || size != 0 {
+	successor.Tick(benchStart.Add(time.Hour + time.Second))
+	successor.Tick(benchStart.Add(2*time.Hour + 2*time.Second))
+	if n, size := successor.Records(); n != 0 || size != 0 {
 		t.Errorf("%d records with %d bytes after the window, want none", n, size)
 	}
 }
--- a/internal/guard/upstream.go
+++ b/internal/guard/upstream.go
@@ -16,7 +16,7 @@
 func (g *Guard) Announce(now time.Time, a invoker.Announcement) {
 	before := *g.capacity()
 	g.upstream = a
-	g.expires = now.Add(time.Duration(a.TimeToLive))
+	g.announcementExpiry = now.Add(time.Duration(a.TimeToLive))
 	g.state = messenger.UpstreamServing
 	if a.Leaving {
 		g.state = messenger.UpstreamLeaving
@@ -39,7 +39,7 @@
 }
 
 func (g *Guard) broadcastCapacity() {
-	for _, entry := range g.order {
+	for _, entry := range g.entryOrder {
 		g.frameTo(entry).Capacity = g.capacity()
 	}
 }
--- a/internal/reclaimer/reclaimer.go
+++ b/internal/reclaimer/reclaimer.go
@@ -20,10 +20,10 @@
 
 const (
 	// checkEvery is the period at which the rate is looked at.
-	checkEvery = 250 * time.Millisecond
+	checkInterval = 250 * time.Millisecond
 	// keepFor is the time whose garbage is kept: there are four collections a second
 	// at most while the share is below the default. The value is chosen.
-	keepFor = 250 * time.Millisecond
+	garbagePeriod = 250 * time.Millisecond
 	// minPercent and maxPercent bound the share of garbage. The upper one is Go's
 	// default, the lower one is chosen.
 	minPercent = 20
@@ -43,11 +43,11 @@
 
 // Reclaimer sets the share of garbage of one process.
 type Reclaimer struct {
-	percent int
-	before  Usage
-	at      time.Time // at is when before was read; zero if it was not yet.
+	percent    int
+	previous   Usage
+	previousAt time.Time // at is when before was read; zero if it was not yet.
 	// settled means that the share is what the latest check wanted, to within a step.
-	settled  bool
+	atTarget bool
 	released bool // released means that memory was given back since the latest burst.
 	// Usage, SetPercent and Release are the seams to the runtime.
 	Usage      func() Usage
@@ -71,27 +71,27 @@
 	if os.Getenv("GOGC") != "" || os.Getenv("GOMEMLIMIT") != "" {
 		return
 	}
-	timers.Subscribe(checkEvery, r.Check)
+	timers.Subscribe(checkInterval, r.Check)
 }
 
 // Check reads the usage and sets the share if it differs enough.
 func (r *Reclaimer) Check(now time.Time) {
-	usage, before, since := r.Usage(), r.before, now.Sub(r.at)
-	first := r.at.IsZero()
-	r.before, r.at = usage, now
+	usage, before, since := r.Usage(), r.previous, now.Sub(r.previousAt)
+	first := r.previousAt.IsZero()
+	r.previous, r.previousAt = usage, now
 	if first || since <= 0 {
 		return
 	}
-	garbage := float64(usage.Allocated-before.Allocated) * keepFor.Seconds() / since.Seconds()
-	r.steer(share(garbage, usage.Live))
-	r.rest(garbage <= minGarbage)
+	garbage := float64(usage.Allocated-before.Allocated) * garbagePeriod.Seconds() / since.Seconds()
+	r.adjust(targetPercent(garbage, usage.Live))
+	r.releaseWhenIdle(garbage <= minGarbage)
 }
 
 // steer raises the share to the wanted one at once and lowers it by a step.
-func (r *Reclaimer) steer(wanted int) {
+func (r *Reclaimer) adjust(wanted int) {
 	percent := max(wanted, r.percent-step)
-	r.settled = percent < r.percent+step && percent > r.percent-step
-	if r.settled {
+	r.atTarget = percent < r.percent+step && percent > r.percent-step
+	if r.atTarget {
 		return
 	}
 	r.percent = percent
@@ -99,19 +99,19 @@
 }
 
 // rest gives unused memory back once a burst has ended and the share has settled.
-func (r *Reclaimer) rest(resting bool) {
-	if !resting {
+func (r *Reclaimer) releaseWhenIdle(idle bool) {
+	if !idle {
 		r.released = false
 		return
 	}
-	if r.settled && !r.released {
+	if r.atTarget && !r.released {
 		r.released = true
 		r.Release()
 	}
 }
 
 // share returns the percentage of what is live that holds the garbage.
-func share(garbage float64, live uint64) int {
+func targetPercent(garbage float64, live uint64) int {
 	if live == 0 {
 		return maxPercent
 	}
--- a/internal/reclaimer/reclaimer_test.go
+++ b/internal/reclaimer/reclaimer_test.go
@@ -9,7 +9,7 @@
 
 // TestShareFollowsRate lets a process rest, work and rest again: the share rises at
 // the first check under load and falls in steps.
-func TestShareFollowsRate(t *testing.T) {
+func TestPercentFollowsRate(t *testing.T) {
 	const live = 20 << 20
 	now := time.Unix(1, 0)
 	usage := Usage{Live: live}
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -47,7 +47,7 @@
 }
 
 // clockSkew is by how much the upstream's clock may be slow, as a divisor: 2%.
-const clockSkew = 50
+const clockSkewDivisor = 50
 
 // Life names one run of the upstream: what it ran before is gone.
 type Incarnation struct {
@@ -60,7 +60,7 @@
 
 // same reports whether two lives are one. A list of runs does not name the
 // upstream, so that an empty ID stands for any.
-func (l Incarnation) same(o Incarnation) bool {
+func (l Incarnation) matches(o Incarnation) bool {
 	return l.Number == o.Number && (l.ID == o.ID || l.ID == "" || o.ID == "")
 }
 
@@ -76,37 +76,37 @@
 
 // Runner is the state of one agent.
 type Runner struct {
-	limits   Limits
-	life     Incarnation
-	upstream *Announcement // upstream is the latest announcement of the life, or nil.
+	limits      Limits
+	incarnation Incarnation
+	upstream    *Announcement // upstream is the latest announcement of the life, or nil.
 	// answered means that the upstream has listed its runs in this life.
 	answered bool
 	// silent means that the upstream does not answer.
-	silent bool
-	misses int // misses counts the questions without an answer since the last list.
+	silent      bool
+	failedPolls int // misses counts the questions without an answer since the last list.
 	// closing means that the agent shuts down and takes nothing new.
 	closing   bool
 	leaseEnds time.Duration // leaseEnds is when everything at the upstream has ended without a renewal.
-	seen      int64         // seen is the number of the latest end that was taken note of.
+	lastEnd   int64         // seen is the number of the latest end that was taken note of.
 	sessions  map[messenger.Peer]*session
 	tasks     map[messenger.TaskRef]*task
 	waiting   []*task // waiting has the tasks that have not started, in the order of urgency.
 	// strays are runs that the upstream lists and that no session owns.
-	strays map[messenger.TaskRef]uint64
-	used   messenger.Resources
-	health health
+	orphans map[messenger.TaskRef]uint64
+	used    messenger.Resources
+	health  health
 	// listedAt is when the latest list came; fresh means that it came soon after the one
 	// before.
-	listedAt time.Duration
-	fresh    bool
+	listedAt      time.Duration
+	recentListing bool
 	// falls counts how often the upstream has fallen silent or ended, up to fellAt, with
 	// less than trustAfter between.
-	falls  int
-	fellAt time.Duration
+	outages    int
+	lastOutage time.Duration
 	// blamed has the jobs whose failures were counted last.
-	blamed    [8]string
-	blameNext int
-	out       Output
+	countedJobs [8]string
+	nextCounted int
+	out         Output
 }
 
 // New returns a runner that knows no upstream.
@@ -115,7 +115,7 @@
 		limits:   l,
 		sessions: make(map[messenger.Peer]*session),
 		tasks:    make(map[messenger.TaskRef]*task),
-		strays:   make(map[messenger.TaskRef]uint64),
+		orphans:  make(map[messenger.TaskRef]uint64),
 		health:   newHealth(),
 	}
 }
@@ -172,14 +172,14 @@
 
 type task struct {
 	messenger.Launch
-	session  *session
-	state    state
-	kind     messenger.EndKind // kind is what the end is reported as, if the task is stopped.
-	since    time.Duration     // since is when the start was sent.
-	stopAt   time.Duration     // stopAt is when the first stop was sent.
-	retryAt  time.Duration     // retryAt is when a stop is sent again.
-	percent  int               // percent is the latest progress.
-	progress time.Duration     // progress is when the progress last changed.
+	session    *session
+	state      state
+	kind       messenger.EndKind // kind is what the end is reported as, if the task is stopped.
+	startedAt  time.Duration     // since is when the start was sent.
+	stoppedAt  time.Duration     // stopAt is when the first stop was sent.
+	retryAt    time.Duration     // retryAt is when a stop is sent again.
+	percent    int               // percent is the latest progress.
+	progressAt time.Duration     // progress is when the progress last changed.
 }
 
 // Announce takes an announcement. It reports whether it was taken: one of a life or
@@ -189,22 +189,22 @@
 	switch {
 	case known && u.Sequence < r.upstream.Sequence:
 		return false
-	case !known && u.Incarnation.Number < r.life.Number:
+	case !known && u.Incarnation.Number < r.incarnation.Number:
 		return false
 	}
-	if !u.Incarnation.same(r.life) {
-		r.begin(now, u.Incarnation)
+	if !u.Incarnation.matches(r.incarnation) {
+		r.startIncarnation(now, u.Incarnation)
 	}
-	r.life.ID = u.Incarnation.ID
+	r.incarnation.ID = u.Incarnation.ID
 	u.Leaving = u.Leaving || known && r.upstream.Leaving
 	changed := !known || u.Leaving != r.upstream.Leaving || u.Capacity != r.upstream.Capacity || u.Service != r.upstream.Service
 	r.upstream = &u
 	if changed {
-		r.decide(Decision{Event: "upstream-announced", Reason: string(r.State(now))})
+		r.logDecision(Decision{Event: "upstream-announced", Reason: string(r.State(now))})
 		if u.Leaving {
 			r.returnWaiting(now)
 		}
-		r.dirty()
+		r.requestReports()
 	}
 	return true
 }
@@ -214,40 +214,40 @@
 	if r.upstream == nil || r.upstream.Incarnation.ID != id {
 		return
 	}
-	r.decide(Decision{Event: "upstream-left"})
+	r.logDecision(Decision{Event: "upstream-left"})
 	r.upstream = nil
-	r.loseAll(now)
-	r.dirty()
+	r.endAll(now)
+	r.requestReports()
 }
 
 // begin notes another life of the upstream. Nothing of an earlier one runs.
-func (r *Runner) begin(now time.Duration, l Incarnation) {
-	if r.life != (Incarnation{}) {
-		r.decide(Decision{Event: "upstream-restarted"})
+func (r *Runner) startIncarnation(now time.Duration, l Incarnation) {
+	if r.incarnation != (Incarnation{}) {
+		r.logDecision(Decision{Event: "upstream-restarted"})
 		if !r.silent {
-			r.fell(now)
+			r.recordOutage(now)
 		}
 	}
-	r.loseAll(now)
-	r.life = l
-	r.seen = 0
+	r.endAll(now)
+	r.incarnation = l
+	r.lastEnd = 0
 	r.answered = false
 	r.upstream = nil
 	r.health = newHealth()
-	clear(r.strays)
-	r.dirty()
+	clear(r.orphans)
+	r.requestReports()
 }
 
 // loseAll ends all tasks: the upstream runs nothing any more.
-func (r *Runner) loseAll(now time.Duration) {
-	for _, t := range r.sorted() {
-		r.end(now, t, t.lost())
+func (r *Runner) endAll(now time.Duration) {
+	for _, t := range r.sortedTasks() {
+		r.end(now, t, t.lostKind())
 	}
 }
 
 // lost returns what the end of a task is reported as when the upstream runs nothing
 // any more.
-func (t *task) lost() messenger.EndKind {
+func (t *task) lostKind() messenger.EndKind {
 	switch {
 	case t.kind != "":
 		return t.kind
@@ -268,7 +268,7 @@
 func (r *Runner) Close(now time.Duration) {
 	r.closing = true
 	r.returnWaiting(now)
-	r.dirty()
+	r.requestReports()
 }
 
 // Idle reports whether no task is left.
@@ -282,7 +282,7 @@
 // State returns how the runner stands to its upstream.
 func (r *Runner) State(now time.Duration) messenger.RunnerState {
 	switch {
-	case r.upstream == nil || !r.answered || r.silent || len(r.strays) > 0:
+	case r.upstream == nil || !r.answered || r.silent || len(r.orphans) > 0:
 		return messenger.RunnerAbsent
 	case r.upstream.Leaving || r.closing:
 		return messenger.RunnerLeaving
@@ -290,10 +290,10 @@
 	return r.health.state(now)
 }
 
-func (r *Runner) decide(d Decision) { r.out.Decisions = append(r.out.Decisions, d) }
+func (r *Runner) logDecision(d Decision) { r.out.Decisions = append(r.out.Decisions, d) }
 
 // sorted returns the tasks in a fixed order.
-func (r *Runner) sorted() []*task {
+func (r *Runner) sortedTasks() []*task {
 	tasks := make([]*task, 0, len(r.tasks))
 	for _, t := range r.tasks {
 		tasks = append(tasks, t)
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -90,7 +90,7 @@
 		l.IdleHeartbeatInterval, l.IdleThreshold = 1200*time.Millisecond, 2*time.Second
 		s.runner = New(l)
 	case "pace":
-		fmt.Fprintf(&s.out, "pace %d\n", s.runner.health.pace(s.now))
+		fmt.Fprintf(&s.out, "pace %d\n", s.runner.health.slowdownPercent(s.now))
 	case "loads":
 		s.loads = true
 	case "close":
@@ -111,7 +111,7 @@
 		f.Withdraws = []messenger.Withdraw{{Task: task0(a[2]), Run: run}}
 	} else {
 		f.Launches = []messenger.Launch{{
-			Task: task0(a[2]), Run: run, Service: "quote", Incarnation: s.runner.life.String(),
+			Task: task0(a[2]), Run: run, Service: "quote", Incarnation: s.runner.incarnation.String(),
 			Resources: messenger.Resources{MilliCPU: scripter.Number(s.t, a[4])}, Urgency: scripter.Duration(s.t, a[5]),
 			StartBy: s.now + 100*time.Millisecond, ExpectedRunTime: 100 * time.Millisecond,
 		}}
--- a/internal/runner/session.go
+++ b/internal/runner/session.go
@@ -10,26 +10,26 @@
 
 // session is one connection to an entry.
 type session struct {
-	peer  messenger.Peer
-	heard time.Duration // heard is the latest stamp of this runner that the entry has had.
-	entry time.Duration // entry is the latest stamp of the entry.
-	seen  uint64        // seen counts the launches that came on the connection.
-	ends  []messenger.End
-	tasks int // tasks counts the tasks that the session owns.
+	peer             messenger.Peer
+	echoed           time.Duration // heard is the latest stamp of this runner that the entry has had.
+	entryStamp       time.Duration // entry is the latest stamp of the entry.
+	launchesReceived uint64        // seen counts the launches that came on the connection.
+	ends             []messenger.End
+	tasks            int // tasks counts the tasks that the session owns.
 	// emptyAt is when the last task of the session ended, and wokenAt when one came after
 	// a rest.
-	emptyAt, wokenAt time.Duration
-	dirty            bool // dirty means that the entry must hear of the load soon.
-	moved            bool // moved means that the room in use has changed since it was last sent.
+	idleSince, resumedAt time.Duration
+	reportDue            bool // dirty means that the entry must hear of the load soon.
+	loadChanged          bool // moved means that the room in use has changed since it was last sent.
 	// told is the room in use or asked for as the entry knows it, with its own launches.
-	told   messenger.Resources
-	sentAt time.Duration // sentAt is when the latest frame was sent.
-	closed bool          // closed means that the connection has ended.
+	reportedLoad messenger.Resources
+	sentAt       time.Duration // sentAt is when the latest frame was sent.
+	closed       bool          // closed means that the connection has ended.
 }
 
 // EntryUp begins the session of an entry.
 func (r *Runner) EntryUp(now time.Duration, peer messenger.Peer) {
-	r.sessions[peer] = &session{peer: peer, heard: now, emptyAt: now - r.limits.IdleThreshold, dirty: true}
+	r.sessions[peer] = &session{peer: peer, echoed: now, idleSince: now - r.limits.IdleThreshold, reportDue: true}
 }
 
 // EntryDown ends the session of an entry and stops its tasks.
@@ -46,7 +46,7 @@
 			return true
 		}
 	}
-	return len(r.strays) > 0
+	return len(r.orphans) > 0
 }
 
 func (r *Runner) closeSession(now time.Duration, s *session, reason string) {
@@ -56,9 +56,9 @@
 	s.closed = true
 	delete(r.sessions, s.peer)
 	if s.tasks > 0 {
-		r.decide(Decision{Event: "session-tasks-stopped", Reason: reason, Age: now - s.heard})
+		r.logDecision(Decision{Event: "session-tasks-stopped", Reason: reason, Age: now - s.echoed})
 	}
-	for _, t := range r.sorted() {
+	for _, t := range r.sortedTasks() {
 		if t.session == s {
 			r.stop(now, t, messenger.EndWithdrawn, reason)
 		}
@@ -72,40 +72,40 @@
 		return
 	}
 	if f.Stamp != nil {
-		s.entry = max(s.entry, f.Stamp.Clock)
-		s.heard = max(s.heard, f.Stamp.Echo)
+		s.entryStamp = max(s.entryStamp, f.Stamp.Clock)
+		s.echoed = max(s.echoed, f.Stamp.Echo)
 	}
-	if r.unheard(now, s) > r.limits.LivenessTimeout {
+	if r.sinceEcho(now, s) > r.limits.LivenessTimeout {
 		// A frame that was held up on its way must not start anything.
-		r.silence(now, s)
+		r.closeSilent(now, s)
 		return
 	}
 	for i := range f.Withdraws {
 		r.withdraw(now, s, &f.Withdraws[i])
 	}
 	for i := range f.Launches {
-		s.seen++
+		s.launchesReceived++
 		r.launch(now, s, &f.Launches[i])
 	}
-	s.moved = s.moved || len(f.Launches) > 0
+	s.loadChanged = s.loadChanged || len(f.Launches) > 0
 }
 
 // rested reports whether the session has had no task for a time.
-func (s *session) rested(now, d time.Duration) bool { return s.tasks == 0 && now-s.emptyAt >= d }
+func (s *session) idleFor(now, d time.Duration) bool { return s.tasks == 0 && now-s.idleSince >= d }
 
 // unheard returns for how long the entry has not heard of the runner that should have.
 // The first task after a rest counts as heard: it bears the latest start, so that one
 // that was held up on its way does not start.
-func (r *Runner) unheard(now time.Duration, s *session) time.Duration {
-	d := now - max(s.heard, s.wokenAt)
-	if s.rested(now, r.limits.IdleThreshold/2) {
+func (r *Runner) sinceEcho(now time.Duration, s *session) time.Duration {
+	d := now - max(s.echoed, s.resumedAt)
+	if s.idleFor(now, r.limits.IdleThreshold/2) {
 		d -= r.limits.IdleHeartbeatInterval
 	}
 	return d
 }
 
-func (r *Runner) silence(now time.Duration, s *session) {
-	r.decide(Decision{Event: "entry-silent", Reason: string(s.peer), Age: now - s.heard})
+func (r *Runner) closeSilent(now time.Duration, s *session) {
+	r.logDecision(Decision{Event: "entry-silent", Reason: string(s.peer), Age: now - s.echoed})
 	r.closeSession(now, s, "entry-silent")
 	r.out.Closes = append(r.out.Closes, s.peer)
 }
@@ -113,29 +113,29 @@
 func (r *Runner) launch(now time.Duration, s *session, l *messenger.Launch) {
 	t := &task{Launch: *l, session: s, state: stateWaiting}
 	refuse := func(reason string) {
-		r.decide(Decision{Event: "task-returned", Task: l.Task, Run: l.Run, Reason: reason, Age: now - s.heard})
+		r.logDecision(Decision{Event: "task-returned", Task: l.Task, Run: l.Run, Reason: reason, Age: now - s.echoed})
 		s.ends = append(s.ends, messenger.End{Task: l.Task, Run: l.Run, Kind: messenger.EndReturned})
 	}
 	st := r.State(now)
 	switch {
 	case r.tasks[l.Task] != nil:
 		refuse("runs-already")
-	case l.Incarnation != r.life.String() || r.upstream == nil || r.upstream.Service != l.Service:
+	case l.Incarnation != r.incarnation.String() || r.upstream == nil || r.upstream.Service != l.Service:
 		refuse("other-upstream")
 	case st != messenger.RunnerReady && st != messenger.RunnerProbing && !(l.AllowSuspect && st == messenger.RunnerSuspect):
 		refuse(string(st))
 	case !l.Resources.Fits(r.upstream.Capacity):
 		refuse("too-large")
 	default:
-		if s.rested(now, r.limits.IdleThreshold/2) {
-			s.wokenAt = now
+		if s.idleFor(now, r.limits.IdleThreshold/2) {
+			s.resumedAt = now
 		}
 		r.tasks[l.Task] = t
 		s.tasks++
 		at, _ := slices.BinarySearchFunc(r.waiting, t, compareUrgency)
 		r.waiting = slices.Insert(r.waiting, at, t)
-		s.told = s.told.Add(l.Resources)
-		r.moved()
+		s.reportedLoad = s.reportedLoad.Add(l.Resources)
+		r.markLoadChanged()
 	}
 }
 
@@ -153,15 +153,15 @@
 }
 
 // dirty notes that every entry must hear of the load.
-func (r *Runner) dirty() {
+func (r *Runner) requestReports() {
 	for _, s := range r.sessions {
-		s.dirty = true
+		s.reportDue = true
 	}
 }
 
 // moved notes that the room in use or asked for has changed.
-func (r *Runner) moved() {
+func (r *Runner) markLoadChanged() {
 	for _, s := range r.sessions {
-		s.moved = true
+		s.loadChanged = true
 	}
 }
--- a/internal/runner/take.go
+++ b/internal/runner/take.go
@@ -19,58 +19,58 @@
 // Ask returns what the upstream must be asked now. The lease is not renewed while a
 // stop is without an answer for long: then everything ends with it.
 func (r *Runner) NextPoll(now time.Duration) PollRequest {
-	q := PollRequest{Incarnation: r.life, LastEnd: r.seen}
-	if len(r.strays) > 0 {
+	q := PollRequest{Incarnation: r.incarnation, LastEnd: r.lastEnd}
+	if len(r.orphans) > 0 {
 		return q
 	}
 	for _, t := range r.tasks {
-		if t.state == stateStopping && now-t.stopAt > r.limits.MaxStopPending {
+		if t.state == stateStopping && now-t.stoppedAt > r.limits.MaxStopPending {
 			return q
 		}
 	}
 	q.LeaseUntil = now + r.limits.LeaseDuration
-	r.renewed(q.LeaseUntil)
+	r.extendLease(q.LeaseUntil)
 	return q
 }
 
 // maxMisses is how many questions in a row may be without an answer until nothing
 // more is started: single ones are lost.
-const maxMisses = 3
+const maxFailedPolls = 3
 
-func (r *Runner) renewed(to time.Duration) { r.leaseEnds = max(r.leaseEnds, to) }
+func (r *Runner) extendLease(to time.Duration) { r.leaseEnds = max(r.leaseEnds, to) }
 
 // Unanswered takes the failure of a question. If the upstream is closed, nothing
 // listens at its address.
 func (r *Runner) PollFailed(now time.Duration, closed bool) {
 	if closed {
 		if len(r.tasks) > 0 {
-			r.decide(Decision{Event: "upstream-closed"})
+			r.logDecision(Decision{Event: "upstream-closed"})
 		}
-		r.loseAll(now)
-		clear(r.strays)
+		r.endAll(now)
+		clear(r.orphans)
 		r.leaseEnds = 0
 	}
-	r.misses++
-	if !r.silent && (closed || r.misses >= maxMisses) {
-		r.decide(Decision{Event: "upstream-silent"})
+	r.failedPolls++
+	if !r.silent && (closed || r.failedPolls >= maxFailedPolls) {
+		r.logDecision(Decision{Event: "upstream-silent"})
 		r.silent = true
-		r.fell(now)
-		r.dirty()
+		r.recordOutage(now)
+		r.requestReports()
 	}
 }
 
 // fell notes that the upstream has fallen silent or ended.
-func (r *Runner) fell(now time.Duration) {
-	if now-r.fellAt > trustAfter {
-		r.falls = 0
+func (r *Runner) recordOutage(now time.Duration) {
+	if now-r.lastOutage > faultMemory {
+		r.outages = 0
 	}
-	r.falls++
-	r.fellAt = now
+	r.outages++
+	r.lastOutage = now
 }
 
 // Take returns what must be done since the last call.
 func (r *Runner) Take(now time.Duration) Output {
-	r.dropSilent(now)
+	r.closeSilentSessions(now)
 	r.checkLease(now)
 	r.retryStops(now)
 	r.startWaiting(now)
@@ -80,22 +80,22 @@
 	return out
 }
 
-func (r *Runner) dropSilent(now time.Duration) {
+func (r *Runner) closeSilentSessions(now time.Duration) {
 	for _, peer := range sortedPeers(r.sessions) {
-		if s := r.sessions[peer]; r.unheard(now, s) > r.limits.LivenessTimeout {
-			r.silence(now, s)
+		if s := r.sessions[peer]; r.sinceEcho(now, s) > r.limits.LivenessTimeout {
+			r.closeSilent(now, s)
 		}
 	}
 }
 
 // checkLease ends what must have ended because the lease was not renewed.
 func (r *Runner) checkLease(now time.Duration) {
-	if r.leaseEnds == 0 || now < r.leaseEnds+r.limits.LeaseDuration/clockSkew+leaseMargin {
+	if r.leaseEnds == 0 || now < r.leaseEnds+r.limits.LeaseDuration/clockSkewDivisor+leaseMargin {
 		return
 	}
 	r.leaseEnds = 0
 	lost := false
-	for _, t := range r.sorted() {
+	for _, t := range r.sortedTasks() {
 		if t.state == stateWaiting {
 			continue
 		}
@@ -105,10 +105,10 @@
 		if t.state == stateStarting || t.state == stateStopping && t.kind == messenger.EndUnresolved {
 			continue
 		}
-		r.end(now, t, t.lost())
+		r.end(now, t, t.lostKind())
 	}
 	if lost {
-		r.decide(Decision{Event: "lease-lapsed"})
+		r.logDecision(Decision{Event: "lease-lapsed"})
 	}
 }
 
@@ -116,13 +116,13 @@
 const leaseMargin = 50 * time.Millisecond
 
 func (r *Runner) retryStops(now time.Duration) {
-	for _, t := range r.sorted() {
+	for _, t := range r.sortedTasks() {
 		if t.state == stateStopping && now >= t.retryAt {
 			r.sendStop(now, t)
 		}
 	}
-	for _, ref := range slices.SortedFunc(maps.Keys(r.strays), messenger.TaskRef.Compare) {
-		r.out.Stops = append(r.out.Stops, StopCall{Incarnation: r.life, Task: ref, Run: r.strays[ref]})
+	for _, ref := range slices.SortedFunc(maps.Keys(r.orphans), messenger.TaskRef.Compare) {
+		r.out.Stops = append(r.out.Stops, StopCall{Incarnation: r.incarnation, Task: ref, Run: r.orphans[ref]})
 	}
 }
 
@@ -157,10 +157,10 @@
 	i := slices.Index(r.waiting, t)
 	r.waiting = slices.Delete(r.waiting, i, i+1)
 	t.state = stateStarting
-	t.since = now
+	t.startedAt = now
 	r.used = r.used.Add(t.Resources)
-	r.renewed(now + r.limits.LeaseDuration)
-	r.out.Starts = append(r.out.Starts, StartCall{Incarnation: r.life, Task: t.Task, Run: t.Run, Payload: t.Payload})
+	r.extendLease(now + r.limits.LeaseDuration)
+	r.out.Starts = append(r.out.Starts, StartCall{Incarnation: r.incarnation, Task: t.Task, Run: t.Run, Payload: t.Payload})
 }
 
 // report makes the frames for the entries that must hear something.
@@ -169,20 +169,20 @@
 	for _, peer := range sortedPeers(r.sessions) {
 		s := r.sessions[peer]
 		since := now - s.sentAt
-		due := since >= reportEvery && (s.dirty || s.moved && r.strayed(s))
+		due := since >= reportEvery && (s.reportDue || s.loadChanged && r.reportOutdated(s))
 		beatEvery := r.limits.HeartbeatInterval
-		if s.rested(now, r.limits.IdleThreshold) {
+		if s.idleFor(now, r.limits.IdleThreshold) {
 			beatEvery = max(beatEvery, r.limits.IdleHeartbeatInterval)
 		}
 		if len(s.ends) == 0 && since < beatEvery && !due {
 			continue
 		}
-		f := &messenger.Frame{Ends: s.ends, Stamp: &messenger.Stamp{Clock: now, Echo: s.entry}}
-		if s.dirty || s.moved {
+		f := &messenger.Frame{Ends: s.ends, Stamp: &messenger.Stamp{Clock: now, Echo: s.entryStamp}}
+		if s.reportDue || s.loadChanged {
 			f.Load = r.load(now, s)
-			s.told = f.Load.Used.Add(f.Load.Queued)
+			s.reportedLoad = f.Load.Used.Add(f.Load.Queued)
 		}
-		s.ends, s.dirty, s.moved, s.sentAt = nil, false, false, now
+		s.ends, s.reportDue, s.loadChanged, s.sentAt = nil, false, false, now
 		r.out.Sends = append(r.out.Sends, Send{To: peer, Frame: f})
 	}
 }
@@ -191,25 +191,25 @@
 // wrong until it is told, as divisors of the capacity and of what is free: where little
 // is free, each task matters.
 const (
-	moveShare = 8
-	freeShare = 4
+	capacityDivisor = 8
+	freeDivisor     = 4
 )
 
 // strayed reports whether what an entry knows of the room in use is too far off.
-func (r *Runner) strayed(s *session) bool {
+func (r *Runner) reportOutdated(s *session) bool {
 	if r.upstream == nil {
 		return true
 	}
 	occupied, c := r.used.Add(r.queued()), r.upstream.Capacity
-	d, free := occupied.Sub(s.told), c.Sub(occupied)
-	return far(d.MilliCPU, c.MilliCPU, free.MilliCPU) || far(d.MemoryBytes, c.MemoryBytes, free.MemoryBytes) ||
-		far(d.Accelerators, c.Accelerators, free.Accelerators)
+	d, free := occupied.Sub(s.reportedLoad), c.Sub(occupied)
+	return significant(d.MilliCPU, c.MilliCPU, free.MilliCPU) || significant(d.MemoryBytes, c.MemoryBytes, free.MemoryBytes) ||
+		significant(d.Accelerators, c.Accelerators, free.Accelerators)
 }
 
 // far reports whether a difference is large beside the capacity or what is free.
-func far(difference, capacity, free int64) bool {
+func significant(difference, capacity, free int64) bool {
 	d := max(difference, -difference)
-	return d > 0 && (d*moveShare >= capacity || d*freeShare >= free)
+	return d > 0 && (d*capacityDivisor >= capacity || d*freeDivisor >= free)
 }
 
 // queued returns the room that is asked for by what waits.
@@ -223,7 +223,7 @@
 
 func (r *Runner) load(now time.Duration, s *session) *messenger.Load {
 	l := &messenger.Load{
-		Incarnation: r.life.String(), State: r.State(now), Used: r.used, Queued: r.queued(), LaunchesReceived: s.seen, RelativeRunTimePercent: r.health.pace(now),
+		Incarnation: r.incarnation.String(), State: r.State(now), Used: r.used, Queued: r.queued(), LaunchesReceived: s.launchesReceived, RelativeRunTimePercent: r.health.slowdownPercent(now),
 	}
 	if r.upstream != nil {
 		l.Service, l.Capacity, l.Labels = r.upstream.Service, r.upstream.Capacity, r.upstream.Labels
--- a/internal/runner/task.go
+++ b/internal/runner/task.go
@@ -22,8 +22,8 @@
 
 // Started takes the answer to a start. If the start was sent before without an answer,
 // a refusal says nothing about that one: it may have run, or may still be carried out.
-func (r *Runner) Started(now time.Duration, c StartCall, a Answer, again bool) {
-	if again && a != AnswerStarted && a != AnswerOtherIncarnation {
+func (r *Runner) Started(now time.Duration, c StartCall, a Answer, retried bool) {
+	if retried && a != AnswerStarted && a != AnswerOtherIncarnation {
 		a = AnswerNone
 	}
 	t := r.tasks[c.Task]
@@ -42,10 +42,10 @@
 	case AnswerStaleRun:
 		r.end(now, t, messenger.EndStaleRun)
 	case AnswerRefused, AnswerOtherIncarnation, AnswerUnhealthy:
-		r.decide(Decision{Event: "start-refused", Task: t.Task, Run: t.Run, Reason: string(a)})
+		r.logDecision(Decision{Event: "start-refused", Task: t.Task, Run: t.Run, Reason: string(a)})
 		if a == AnswerUnhealthy {
 			r.health.stalled(now)
-			r.dirty()
+			r.requestReports()
 		}
 		r.end(now, t, messenger.EndRefused)
 	}
@@ -53,7 +53,7 @@
 
 // Stopped takes the answer to a stop: whether the upstream has acknowledged it.
 func (r *Runner) Stopped(now time.Duration, c StopCall, acknowledged bool) {
-	if run, ok := r.strays[c.Task]; ok && run == c.Run {
+	if run, ok := r.orphans[c.Task]; ok && run == c.Run {
 		// The next list of runs tells whether it is gone.
 		return
 	}
@@ -63,7 +63,7 @@
 	}
 	if acknowledged {
 		t.state = stateStopped
-		t.stopAt = now
+		t.stoppedAt = now
 	}
 }
 
@@ -95,74 +95,74 @@
 
 // freshFor is the time since the list before within which ends tell how long the
 // tasks ran. Lists come every 60 ms.
-const freshFor = 100 * time.Millisecond
+const recentListingAge = 100 * time.Millisecond
 
 // Listed takes a list of the upstream.
 func (r *Runner) Listed(now time.Duration, l Listing) {
-	if !l.Incarnation.same(r.life) {
-		if l.Incarnation.Number < r.life.Number {
+	if !l.Incarnation.matches(r.incarnation) {
+		if l.Incarnation.Number < r.incarnation.Number {
 			return
 		}
-		r.begin(now, l.Incarnation)
+		r.startIncarnation(now, l.Incarnation)
 	}
-	r.misses = 0
+	r.failedPolls = 0
 	if r.silent || !r.answered {
-		r.decide(Decision{Event: "upstream-answers"})
+		r.logDecision(Decision{Event: "upstream-answers"})
 		r.silent, r.answered = false, true
-		if r.falls > 1 {
-			r.health.distrust(now, r.falls-1)
-			r.decide(Decision{Event: "upstream-distrusted", Reason: "flapping"})
+		if r.outages > 1 {
+			r.health.penalise(now, r.outages-1)
+			r.logDecision(Decision{Event: "upstream-distrusted", Reason: "flapping"})
 		}
-		r.dirty()
+		r.requestReports()
 	}
-	r.fresh = now-r.listedAt < freshFor
+	r.recentListing = now-r.listedAt < recentListingAge
 	r.listedAt = now
 	for _, e := range l.Ended {
-		if e.Number <= r.seen {
+		if e.Number <= r.lastEnd {
 			continue
 		}
-		r.seen = e.Number
-		r.ended(now, e)
+		r.lastEnd = e.Number
+		r.applyEnd(now, e)
 	}
 	listed := make(map[messenger.TaskRef]uint64, len(l.Running))
-	pace := paceSample{}
+	pace := slowdownSample{}
 	for _, run := range l.Running {
 		listed[run.Task] = run.Run
-		r.progress(now, run)
+		r.applyProgress(now, run)
 		if t := r.tasks[run.Task]; t != nil && t.Run == run.Run && t.state == stateRunning {
-			pace.add(now-t.since, run.Percent, t.ExpectedRunTime)
+			pace.add(now-t.startedAt, run.Percent, t.ExpectedRunTime)
 		}
 	}
-	if r.health.sample(now, pace) {
-		r.dirty()
+	if r.health.observeProgress(now, pace) {
+		r.requestReports()
 	}
-	r.forgetStrays(listed)
-	for _, t := range r.sorted() {
+	r.removeOrphans(listed)
+	for _, t := range r.sortedTasks() {
 		// What was stopped and is not in a list that was asked for afterwards is gone.
-		if t.state == stateStopped && listed[t.Task] != t.Run && t.stopAt < l.RequestedAt {
+		if t.state == stateStopped && listed[t.Task] != t.Run && t.stoppedAt < l.RequestedAt {
 			r.end(now, t, t.kind)
 		}
 	}
 }
 
-func (r *Runner) forgetStrays(listed map[messenger.TaskRef]uint64) {
-	if len(r.strays) == 0 {
+func (r *Runner) removeOrphans(listed map[messenger.TaskRef]uint64) {
+	if len(r.orphans) == 0 {
 		return
 	}
-	for ref, run := range r.strays {
+	for ref, run := range r.orphans {
 		if listed[ref] != run {
-			delete(r.strays, ref)
+			delete(r.orphans, ref)
 		}
 	}
-	if len(r.strays) == 0 {
-		r.decide(Decision{Event: "strays-gone"})
-		r.dirty()
+	if len(r.orphans) == 0 {
+		r.logDecision(Decision{Event: "strays-gone"})
+		r.requestReports()
 	}
 }
 
-func (r *Runner) ended(now time.Duration, e RunEnd) {
-	if r.strays[e.Task] == e.Run {
-		delete(r.strays, e.Task)
+func (r *Runner) applyEnd(now time.Duration, e RunEnd) {
+	if r.orphans[e.Task] == e.Run {
+		delete(r.orphans, e.Task)
 	}
 	t := r.tasks[e.Task]
 	if t == nil || t.Run != e.Run || t.state == stateWaiting {
@@ -172,11 +172,11 @@
 	switch {
 	case kind == messenger.EndDone:
 		r.health.done(now)
-		if r.fresh {
-			r.health.learn(now, now-t.since, t.ExpectedRunTime)
+		if r.recentListing {
+			r.health.observeRunTime(now, now-t.startedAt, t.ExpectedRunTime)
 		}
 	case kind == messenger.EndFailed:
-		if t.Failures == 0 && r.blames(t.Task.Job) && r.health.failed(now) {
+		if t.Failures == 0 && r.countsFailure(t.Task.Job) && r.health.failed(now) {
 			r.suspect("failures")
 		}
 	case t.kind != "":
@@ -187,51 +187,51 @@
 
 // blames reports whether a failure of a job's task speaks against the upstream: a job
 // that can never be done fails everywhere, and counts once.
-func (r *Runner) blames(job string) bool {
-	if slices.Contains(r.blamed[:], job) {
+func (r *Runner) countsFailure(job string) bool {
+	if slices.Contains(r.countedJobs[:], job) {
 		return false
 	}
-	r.blamed[r.blameNext%len(r.blamed)] = job
-	r.blameNext++
+	r.countedJobs[r.nextCounted%len(r.countedJobs)] = job
+	r.nextCounted++
 	return true
 }
 
 func (r *Runner) suspect(reason string) {
-	r.decide(Decision{Event: "upstream-suspect", Reason: reason})
-	r.dirty()
+	r.logDecision(Decision{Event: "upstream-suspect", Reason: reason})
+	r.requestReports()
 }
 
 // progress notes how far a run is and stops it if it stands still.
-func (r *Runner) progress(now time.Duration, run Run) {
+func (r *Runner) applyProgress(now time.Duration, run Run) {
 	t := r.tasks[run.Task]
 	if t == nil || t.Run != run.Run || t.state == stateWaiting {
-		if r.strays[run.Task] == 0 {
-			r.decide(Decision{Event: "stray-run", Task: run.Task, Run: run.Run})
-			r.dirty()
+		if r.orphans[run.Task] == 0 {
+			r.logDecision(Decision{Event: "stray-run", Task: run.Task, Run: run.Run})
+			r.requestReports()
 		}
-		r.strays[run.Task] = max(r.strays[run.Task], run.Run)
+		r.orphans[run.Task] = max(r.orphans[run.Task], run.Run)
 		return
 	}
 	if t.state == stateStarting {
 		t.state = stateRunning
 	}
-	if t.progress == 0 || run.Percent != t.percent {
-		t.percent, t.progress = run.Percent, now
+	if t.progressAt == 0 || run.Percent != t.percent {
+		t.percent, t.progressAt = run.Percent, now
 		return
 	}
-	allowed := max(r.limits.StallTimeout, t.ExpectedRunTime/stallShare)
-	if t.state != stateRunning || now-t.progress < allowed {
+	allowed := max(r.limits.StallTimeout, t.ExpectedRunTime/stallDivisor)
+	if t.state != stateRunning || now-t.progressAt < allowed {
 		return
 	}
 	r.health.stalled(now)
 	r.suspect("stalled")
-	r.decide(Decision{Event: "task-stalled", Task: t.Task, Run: t.Run, Age: now - t.progress})
+	r.logDecision(Decision{Event: "task-stalled", Task: t.Task, Run: t.Run, Age: now - t.progressAt})
 	r.stop(now, t, messenger.EndStalled, "stalled")
 }
 
 // stallShare is the share of a task's expected time that it may stand still, as a
 // divisor: progress is told in hundredths.
-const stallShare = 8
+const stallDivisor = 8
 
 // stop ends a task: one that waits at once, another by a stop.
 func (r *Runner) stop(now time.Duration, t *task, kind messenger.EndKind, reason string) {
@@ -242,23 +242,23 @@
 	case stateStopping, stateStopped:
 		return
 	}
-	r.decide(Decision{Event: "task-stopped", Task: t.Task, Run: t.Run, Reason: reason})
+	r.logDecision(Decision{Event: "task-stopped", Task: t.Task, Run: t.Run, Reason: reason})
 	t.kind = kind
 	t.state = stateStopping
-	t.stopAt = now
+	t.stoppedAt = now
 	r.sendStop(now, t)
 }
 
 func (r *Runner) sendStop(now time.Duration, t *task) {
 	t.retryAt = now + r.limits.StopRetryInterval
-	r.out.Stops = append(r.out.Stops, StopCall{Incarnation: r.life, Task: t.Task, Run: t.Run})
+	r.out.Stops = append(r.out.Stops, StopCall{Incarnation: r.incarnation, Task: t.Task, Run: t.Run})
 }
 
 // end forgets a task and tells its entry.
 func (r *Runner) end(now time.Duration, t *task, kind messenger.EndKind) {
 	delete(r.tasks, t.Task)
 	t.session.tasks--
-	t.session.emptyAt = now
+	t.session.idleSince = now
 	e := messenger.End{Task: t.Task, Run: t.Run, Kind: kind, Started: t.state != stateWaiting}
 	if t.state == stateWaiting {
 		if i := slices.Index(r.waiting, t); i >= 0 {
@@ -266,10 +266,10 @@
 		}
 	} else {
 		r.used = r.used.Sub(t.Resources)
-		e.RunTime = now - t.since
+		e.RunTime = now - t.startedAt
 	}
 	if !t.session.closed {
 		t.session.ends = append(t.session.ends, e)
 	}
-	r.moved()
+	r.markLoadChanged()
 }
