--- a/internal/guard/bench_test.go
+++ b/internal/guard/bench_test.go
@@ -14,7 +14,7 @@
 
 const benchEntry = messenger.Peer("entry")
 
-// benchStart is the time at which the guards of benchmarks begin.
+// benchStart is time zero of the guards in benchmarks.
 var benchStart = time.Unix(1_700_000_000, 0)
 
 // loadedGuard returns a guard with the given number of settled records.
@@ -62,7 +62,7 @@
 	return id
 }
 
-// BenchmarkStartCheck measures the check of one start against 100,000 records.
+// BenchmarkStartCheck measures one start check with 100,000 records.
 func BenchmarkStartCheck(b *testing.B) {
 	g := loadedGuard(100_000)
 	f := startFrame(benchID(50_000), 1)
@@ -75,7 +75,7 @@
 	}
 }
 
-// BenchmarkDuplicate measures a start that is refused as a duplicate, with its
+// BenchmarkDuplicate measures the refusal of a duplicate start, including the
 // answer.
 func BenchmarkDuplicate(b *testing.B) {
 	g := loadedGuard(100_000)
@@ -89,7 +89,7 @@
 	}
 }
 
-// BenchmarkTask measures the whole life of a task at the guard.
+// BenchmarkTask measures a task at the guard from its start to its settlement.
 func BenchmarkTask(b *testing.B) {
 	g := loadedGuard(0)
 	b.ReportAllocs()
@@ -100,7 +100,7 @@
 	}
 }
 
-// BenchmarkTick measures a tick with 100,000 records of which none has expired.
+// BenchmarkTick measures a tick with 100,000 records, none of them expired.
 func BenchmarkTick(b *testing.B) {
 	g := loadedGuard(100_000)
 	b.ReportAllocs()
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestRecordBytes compares the bytes that the guard accounts for with what the
-// records take on the heap.
+// TestRecordBytes compares the accounted size of the records with their size on the
+// heap.
 func TestRecordBytes(t *testing.T) {
 	const records = 100_000
 	before := heapBytes()
--- a/internal/guard/connection.go
+++ b/internal/guard/connection.go
@@ -7,21 +7,21 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// link is what the guard keeps for a connected entry.
+// connection is the state of the connection to an entry.
 type connection struct {
-	frame        *messenger.Frame // frame gathers what goes out at the next Take; nil if nothing does.
+	frame        *messenger.Frame // frame collects what the next Take sends; nil if there is nothing.
 	ping         uint64
 	echoed       uint64
-	echoAtOnce   bool      // prompt means that the entry waits for an echo alone.
-	echoDueSince time.Time // owed is since when an echo is owed; zero if none is.
+	echoAtOnce   bool      // echoAtOnce is set if the entry sent a ping without starts.
+	echoDueSince time.Time // echoDueSince is zero if no echo is pending.
 	delayed      []delayedResult
-	delayedSince time.Time    // heldSince is when the oldest of held was added.
-	backlog      int          // backlog is how many tasks wait at the entry, as it last said.
-	raised       partitionSet // raised has the partitions whose epoch rose since the last contact.
+	delayedSince time.Time    // delayedSince is when the oldest delayed result was added.
+	backlog      int          // backlog is the number of tasks that wait at the entry, as last reported.
+	raised       partitionSet // raised has the partitions whose epoch rose since the last frame sent.
 }
 
-// EntryUp adds a connection to an entry. Its first frame lists all epochs as
-// raised, because a hello may be older than the connection.
+// EntryUp adds a connection to an entry. The first frame on it lists all epochs as
+// raised, because the epochs in the hello may be outdated by then.
 func (g *Guard) EntryUp(_ time.Time, entry messenger.Peer) {
 	if _, ok := g.entries[entry]; !ok {
 		g.entryOrder = append(g.entryOrder, entry)
@@ -40,7 +40,7 @@
 }
 
 // EntryDown removes the connection to an entry. Its starts that wait are
-// dropped: the entry asks for the records when it is back.
+// dropped: the entry asks for the records when it reconnects.
 func (g *Guard) EntryDown(_ time.Time, entry messenger.Peer) {
 	delete(g.entries, entry)
 	for i, p := range g.entryOrder {
@@ -54,7 +54,7 @@
 	g.transfer.entryDown(entry)
 }
 
-// dropWaiting drops the waiting starts of an entry and frees their credits.
+// dropWaiting drops the waiting starts of an entry and releases their credits.
 func (g *Guard) dropWaiting(entry messenger.Peer) {
 	g.waiting.filter(func(p *pending) bool {
 		if p.from != entry {
@@ -65,7 +65,7 @@
 	})
 }
 
-// frameTo returns the frame that gathers what goes to a connected entry.
+// frameTo returns the frame that collects what is sent to a connected entry.
 func (g *Guard) frameTo(entry messenger.Peer) *messenger.Frame {
 	l := g.entries[entry]
 	if l.frame == nil {
@@ -74,7 +74,8 @@
 	return l.frame
 }
 
-// sendResult sends a result to the holder of the submission's partition.
+// sendResult sends or delays a result for the receiver of the submission's
+// partition.
 func (g *Guard) sendResult(now time.Time, s identifier.Submission, result messenger.TaskResult) {
 	to := g.resultReceivers[s.Partition()]
 	if g.entries[to] != nil && !g.delayResult(now, to, s, result) {
--- a/internal/guard/credit.go
+++ b/internal/guard/credit.go
@@ -8,25 +8,26 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// DefaultHoldFor is the setting of Limits.HoldFor that suits most deployments. It
-// is longer than most tasks run, so that a job's results leave an agent together.
+// DefaultMaxResultDelay is the value of Limits.MaxResultDelay that suits most
+// deployments. It is longer than most tasks run, so that the results of a job leave
+// an agent together.
 const DefaultMaxResultDelay = time.Second
 
-// resources is what the tasks at the agent take: credits of entries while they
-// wait or run, memory and accelerators while they run.
+// resources accounts for what the tasks at the agent use: credits of entries while
+// they wait or run, memory and accelerators while they run.
 type resources struct {
 	credits *creditor.Creditor
 	running map[TaskRef]charge
-	// open counts the tasks of each submission that wait or run.
+	// unfinished counts the tasks of each submission that wait or run.
 	unfinished map[identifier.Submission]int
 	// memory and accelerators are the sums over running.
 	memory       int64
 	accelerators int
 }
 
-// charge is what one running task takes.
+// charge is what one running task uses.
 type charge struct {
-	from         messenger.Peer // from is empty once the entry is gone.
+	from         messenger.Peer // from is empty once the entry has disconnected.
 	memory       int64
 	accelerators int
 }
@@ -35,8 +36,8 @@
 	return resources{credits: creditor.New(limits), running: make(map[TaskRef]charge), unfinished: make(map[identifier.Submission]int)}
 }
 
-// fits reports whether the upstream has the memory and accelerators for a task
-// now. A task that needs more than there is runs alone.
+// fits reports whether the upstream now has the memory and accelerators for a task.
+// A task that needs more than the whole upstream has runs alone.
 func (g *Guard) fits(p *pending) bool {
 	c := g.chargeOf(p)
 	return g.resources.memory+c.memory <= g.upstream.MemoryBytes &&
@@ -51,7 +52,7 @@
 	}
 }
 
-// take charges a task that starts.
+// chargeTask charges the memory and accelerators of a task that starts.
 func (g *Guard) chargeTask(p *pending) {
 	c := g.chargeOf(p)
 	g.resources.running[p.ref] = c
@@ -59,7 +60,7 @@
 	g.resources.accelerators += c.accelerators
 }
 
-// giveBack frees what a task that has ended took.
+// releaseTask releases the charge and the credit of a task that has ended.
 func (g *Guard) releaseTask(ref TaskRef) {
 	c := g.resources.running[ref]
 	delete(g.resources.running, ref)
@@ -69,13 +70,13 @@
 	g.countEnd(ref.Submission)
 }
 
-// abandon frees the credit of a start that waited and will not run.
+// releaseCredit releases the credit of a start that waited and will not run.
 func (g *Guard) releaseCredit(p *pending) {
 	g.resources.credits.Ended(p.from)
 	g.countEnd(p.ref.Submission)
 }
 
-// entryGone frees the credits of an entry, but for those of its running tasks.
+// releaseEntry releases the credits of an entry, except those of its running tasks.
 func (g *Guard) releaseEntry(entry messenger.Peer) {
 	for ref, c := range g.resources.running {
 		if c.from == entry {
@@ -86,7 +87,7 @@
 	g.resources.credits.EntryDown(entry)
 }
 
-// addCredits lets changed limits ride on the frames that go out.
+// addCredits adds changed credit limits to the frames that are about to be sent.
 func (g *Guard) addCredits() {
 	slots := 0
 	if g.state == messenger.UpstreamServing {
@@ -101,8 +102,8 @@
 	}
 }
 
-// accept lets a start wait for a slot. What waits is ordered by the work that is
-// left of its job and by its age.
+// enqueue adds a start to the queue for a slot. The queue is ordered by the
+// remaining work of the job and by age.
 func (g *Guard) enqueue(now time.Time, p pending) {
 	g.resources.credits.Started(p.from)
 	g.resources.unfinished[p.ref.Submission]++
@@ -110,10 +111,10 @@
 	g.waiting.insert(p)
 }
 
-// ageing is how much one second of waiting counts against one second of work.
+// ageing is the weight of one second of waiting relative to one second of work.
 const ageing = 0.25
 
-// close counts the end of a task that was accepted.
+// countEnd counts the end of a task that was queued.
 func (g *Guard) countEnd(s identifier.Submission) {
 	g.resources.unfinished[s]--
 	if g.resources.unfinished[s] <= 0 {
@@ -121,8 +122,8 @@
 	}
 }
 
-// hold keeps a result back while others of its job are to come from here and
-// reports whether it does. A failure is never held: it ends the job.
+// delayResult delays a result while other tasks of its job are unfinished at this
+// agent, and reports whether it did. A failure is never delayed: it ends the job.
 func (g *Guard) delayResult(now time.Time, to messenger.Peer, s identifier.Submission, r messenger.TaskResult) bool {
 	if r.Kind != messenger.ResultDone || g.resources.unfinished[s] == 0 || g.limits.MaxResultDelay <= 0 {
 		return false
@@ -135,8 +136,8 @@
 	return true
 }
 
-// release adds held results to the frames that go out, and to one of their own
-// once they have been held for long enough or their job has no other task here.
+// sendDelayed adds delayed results to the frames that are about to be sent. If no
+// frame is due for the entry, it makes one as soon as [Guard.delayedDue].
 func (g *Guard) sendDelayed(now time.Time) {
 	for _, entry := range g.entryOrder {
 		l := g.entries[entry]
@@ -155,8 +156,9 @@
 	}
 }
 
-// wanted reports whether held results should go now: they are old, an echo goes
-// now anyway, or the entry waits for credit and the agent runs out of work.
+// delayedDue reports whether delayed results should be sent now: they have waited
+// for MaxResultDelay, an echo is due anyway, or the entry waits for credit and the
+// agent is running out of work.
 func (g *Guard) delayedDue(now time.Time, l *connection) bool {
 	if now.Sub(l.delayedSince) >= g.limits.MaxResultDelay || g.echoDue(now, l) {
 		return true
@@ -169,16 +171,16 @@
 }
 
 const (
-	// lowWater is the part of the slots for which starts must wait, so that an
-	// entry with a backlog need not hear of results.
+	// lowWaterDivisor sets the low-water mark of the queue, as a divisor of the slots:
+	// with fewer starts waiting, an entry with a backlog is sent results early.
 	lowWaterDivisor = 2
-	// heldBatch is how many results an entry with a backlog is sent together while
+	// delayedBatch is how many results an entry with a backlog is sent together while
 	// no slot is idle.
 	delayedBatch = 8
 )
 
-// receiveBacklog applies what a frame says about the sender's backlog. Starts
-// without such a word mean that there is none.
+// receiveBacklog applies the sender's backlog as reported in a frame. A frame with
+// starts but no report means that there is no backlog.
 func (g *Guard) receiveBacklog(l *connection, f *messenger.Frame) {
 	switch {
 	case f.Credit != nil:
@@ -188,7 +190,7 @@
 	}
 }
 
-// heldResult is a result that waits for others of its job.
+// delayedResult is a result that waits for others of its job.
 type delayedResult struct {
 	submission identifier.Submission
 	result     messenger.TaskResult
--- a/internal/guard/echo.go
+++ b/internal/guard/echo.go
@@ -6,10 +6,10 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// waits reports whether the echo that is owed to an entry may wait for more to go
-// with it, and until when. An echo of a message that brought starts rides on their
-// results; a message without starts asks for nothing but the echo and gets it at
-// once. The wait is bounded, since leases rest on echoes.
+// echoDelay reports whether a pending echo to an entry may wait to be sent with
+// other content, and until when. The echo of a message with starts is sent with
+// their results; a message without starts only asks for the echo and gets it at
+// once. The delay is bounded, because leases depend on echoes.
 func (g *Guard) echoDelay(now time.Time, l *connection) (until time.Time, ok bool) {
 	if l.echoAtOnce || l.frame != nil {
 		return now, false
@@ -18,7 +18,7 @@
 	return until, now.Before(until)
 }
 
-// contact notes a ping and whether its echo may wait.
+// recordPing records a ping and whether its echo may be delayed.
 func (l *connection) recordPing(now time.Time, f *messenger.Frame) {
 	if f.Contact == nil || f.Contact.Ping <= l.ping {
 		return
@@ -30,14 +30,14 @@
 	l.markEchoDue(now)
 }
 
-// owe notes since when an echo is owed to the entry.
+// markEchoDue records the time since which an echo is pending, unless one is already.
 func (l *connection) markEchoDue(now time.Time) {
 	if l.echoDueSince.IsZero() {
 		l.echoDueSince = now
 	}
 }
 
-// paid clears what was owed when a frame goes out.
+// clearSent clears the pending frame and echo when the frame is sent.
 func (l *connection) clearSent() {
 	l.echoed = l.ping
 	l.frame = nil
@@ -45,7 +45,7 @@
 	l.echoDueSince = time.Time{}
 }
 
-// mustEcho reports whether an echo goes to the entry now in any case.
+// echoDue reports whether an echo must be sent to the entry now.
 func (g *Guard) echoDue(now time.Time, l *connection) bool {
 	if l.ping == l.echoed {
 		return false
--- a/internal/guard/echo_test.go
+++ b/internal/guard/echo_test.go
@@ -14,7 +14,7 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// holder is a guard with one entry whose echoes and results may wait.
+// delayRun drives a guard that delays echoes and results for one entry.
 type delayRun struct {
 	guard *Guard
 	now   time.Time
@@ -58,7 +58,8 @@
 	h.guard.Ended(h.now, TaskRef{Submission: h.id, Index: index}, messenger.TaskResult{Index: index, Kind: kind})
 }
 
-// take lets time pass and returns what goes out and how long until the next wake-up.
+// take advances the time and returns the frames sent and the time until the next
+// wake-up.
 func (h *delayRun) take(after time.Duration) string {
 	h.now = h.now.Add(after)
 	out := h.guard.Take(h.now)
@@ -77,7 +78,8 @@
 	return text
 }
 
-// TestWaiting checks what waits for company, for how long, and what does not.
+// TestDelayedSends checks which echoes and results are delayed to be sent with
+// others, for how long, and which are sent at once.
 func TestDelayedSends(t *testing.T) {
 	var got []string
 	record := func(text string) { got = append(got, text) }
@@ -128,6 +130,6 @@
 		"echo due: echo 1 0:done",
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("what goes out (-want +got):\n%s", diff)
+		t.Errorf("sent frames and wake-ups (-want +got):\n%s", diff)
 	}
 }
--- a/internal/guard/epochs.go
+++ b/internal/guard/epochs.go
@@ -7,8 +7,8 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// admit applies that the agent is part of the roster. Holders stay as they are:
-// an admission says nothing about who the owners are.
+// admit applies the agent's admission to the roster. The receivers of results stay
+// as they are: an admission does not tell who the owners are.
 func (g *Guard) admit(now time.Time, a *messenger.Admit) {
 	g.admitted = !g.expelled && !g.transfer.started
 	for p, epoch := range a.Epochs[:min(len(a.Epochs), identifier.Partitions)] {
@@ -17,18 +17,18 @@
 	g.refuseWaiting(now)
 }
 
-// expel applies that an operator declared the agent dead: others may have begun to
-// start what it would start.
+// expel applies an operator's declaration that the agent is dead. Its tasks may by
+// now have been started on other agents, so it starts nothing more.
 func (g *Guard) expel(now time.Time) {
 	g.expelled = true
 	g.admitted = false
 	g.refuseWaiting(now)
 }
 
-// fence raises epochs and answers with the records of the partitions. A fence of
-// a lower epoch than is known gets the higher epoch and no records. Starts of the
-// partitions that wait are refused first: they are in no record, and who gets the
-// records takes what is in none for not started.
+// fence raises epochs and answers with the records of the partitions. A fence with
+// an epoch below the highest seen gets that epoch and no records. Waiting starts of
+// the partitions are refused first: they are in no record, and the receiver of the
+// records assumes that a task in no record has not started.
 func (g *Guard) fence(now time.Time, from messenger.Peer, f *messenger.Fence) {
 	g.refuseFenced(f)
 	frame := g.frameTo(from)
@@ -51,7 +51,8 @@
 	g.refuseWaiting(now)
 }
 
-// raise raises the epoch of a partition and notes it for every connection.
+// raise raises the epoch of a partition and marks it to be reported on every
+// connection.
 func (g *Guard) raise(p identifier.Partition, epoch uint64) {
 	if epoch <= g.epochs[p] {
 		return
@@ -62,7 +63,8 @@
 	}
 }
 
-// takeRaised returns what the connection has not been told and clears it.
+// takeRaised returns the raised epochs not yet reported on a connection and clears
+// them.
 func (g *Guard) takeRaised(l *connection) []messenger.PartitionEpoch {
 	if l.raised.empty() {
 		return nil
@@ -84,7 +86,7 @@
 	return out
 }
 
-// refuseFenced refuses the waiting starts of the partitions that a fence takes.
+// refuseFenced refuses the waiting starts of the partitions that a fence takes over.
 func (g *Guard) refuseFenced(f *messenger.Fence) {
 	if g.waiting.len() == 0 {
 		return
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,10 +1,10 @@
 // Package guard decides at an agent which tasks may start.
 //
 // The guard is the last check before an upstream: every start passes it, one at
-// a time. It holds the highest epoch seen of each partition, a record of every
-// submission of which a task has started, the announcement of the upstream, and
-// the starts that wait for a free slot. It does no I/O: events come in with a
-// time, and what is to be done is collected until [Guard.Take].
+// a time. It keeps the highest epoch seen for each partition, a record of every
+// submission that has started a task here, the announcement of the upstream, and
+// the starts that wait for a free slot. It does no I/O: methods apply events at a
+// given time, and the resulting actions are collected until [Guard.Take].
 //
 // A record outlives its tasks by the deduplication window, so that a late or
 // repeated start is recognised. A refusal is proof that the task did not start
@@ -22,24 +22,26 @@
 
 // Limits are the settings of a guard.
 type Limits struct {
-	// Window is how long a record is kept after its last use. It must be longer
-	// than the owners' window by the permitted clock difference and the longest
-	// start-by budget, so that no id is accepted whose record is gone.
+	// Window is the deduplication window: how long a record is kept after its last
+	// use. It must exceed the owners' window by the permitted clock difference and
+	// the longest start-by budget, so that no id is accepted after its record has
+	// been deleted.
 	Window time.Duration
-	// MaxRecordBytes bounds the memory of the records and of the results that the
-	// owners may not have. At the bound new work is refused; nothing is forgotten.
+	// MaxRecordBytes bounds the memory of the records and of the results that their
+	// owners may not have received. At the bound new work is refused; no record is
+	// evicted.
 	MaxRecordBytes int
-	// RetainFor and RetainBytes bound the results that are kept although their
-	// owner has them, so that a new owner can answer when that one dies.
+	// RetainFor and RetainBytes bound the results that are kept after their owner
+	// has received them, so that a new owner can answer if that owner dies.
 	RetainFor   time.Duration
 	RetainBytes int
 	// MaxWaiting bounds the starts that wait for a slot.
 	MaxWaiting int
-	// EchoFor bounds how long the echo of a ping that came with starts waits for
+	// MaxEchoDelay bounds how long the echo of a ping that came with starts waits for
 	// their results. It must be much shorter than a lease. Zero sends it at once.
 	MaxEchoDelay time.Duration
-	// HoldFor is how long a result may wait for others of its job, so that they go
-	// in one message. Zero sends each at once.
+	// MaxResultDelay is how long a result may wait for others of its job, so that
+	// they are sent in one message. Zero sends each at once.
 	MaxResultDelay time.Duration
 	// Credits are the settings of the division of slots between entries.
 	Credits creditor.Limits
@@ -56,7 +58,7 @@
 	Ref     TaskRef
 	Path    string
 	Payload []byte
-	// EndBy is when the call must be cancelled.
+	// EndBy is the time at which the call must be cancelled.
 	EndBy time.Time
 }
 
@@ -84,31 +86,31 @@
 // Guard is the state of one agent.
 type Guard struct {
 	limits  Limits
-	started time.Time // started is the zero of the agent's clock.
+	started time.Time // started is time zero of the agent's clock.
 
 	upstream           invoker.Announcement
-	announcementExpiry time.Time // expires is when the announcement lapses; zero if there is none.
+	announcementExpiry time.Time // announcementExpiry is zero if there is no announcement.
 	state              messenger.UpstreamState
 
-	admitted        bool // admitted means that the agent is part of the roster.
-	expelled        bool // expelled means that an operator declared the agent dead; it never ends.
+	admitted        bool // admitted is true while the agent is part of the roster.
+	expelled        bool // expelled is set for good once an operator has declared the agent dead.
 	epochs          [identifier.Partitions]uint64
-	resultReceivers [identifier.Partitions]messenger.Peer // holders has who gets the results of a partition.
+	resultReceivers [identifier.Partitions]messenger.Peer // resultReceivers are the entries that get the results of each partition.
 	records         *recordTable
-	transferred     *recordTable // adopted has the records of agents that left, of which this one is the heir.
+	transferred     *recordTable // transferred has the records of agents that left, with this one as successor.
 	transfer        recordTransfer
 	entries         map[messenger.Peer]*connection
-	entryOrder      []messenger.Peer // order lists the connected entries in order of arrival.
+	entryOrder      []messenger.Peer // entryOrder lists the connected entries in the order in which they connected.
 
 	resources resources
 	waiting   startQueue
-	running   int // running is at most upstream.Slots at the time of each start.
+	running   int // running counts the tasks in progress; at each start it is at most upstream.Slots.
 	// Rules are the checks of a start.
 	Rules Rules
 	out   Output
 }
 
-// New returns a guard without an upstream. The given time is the zero of the
+// New returns a guard without an upstream. The given time is time zero of the
 // agent's clock.
 func New(now time.Time, limits Limits) *Guard {
 	return &Guard{
@@ -133,7 +135,7 @@
 // Waiting returns the number of starts that wait for a slot.
 func (g *Guard) Waiting() int { return g.waiting.len() }
 
-// Held returns the number of results that wait to be sent with others.
+// DelayedResults returns the number of results that wait to be sent with others.
 func (g *Guard) DelayedResults() int {
 	n := 0
 	for _, entry := range g.entryOrder {
@@ -148,7 +150,7 @@
 // Expelled reports whether an operator has declared the agent dead.
 func (g *Guard) Expelled() bool { return g.expelled }
 
-// Records returns the number of records and the bytes that they take.
+// Records returns the number of records and their size in bytes.
 func (g *Guard) Records() (count, bytes int) {
 	return g.records.count + g.transferred.count, g.records.bytes + g.transferred.bytes
 }
@@ -201,7 +203,7 @@
 	g.transferred.expire(g.Clock(now), g.limits.Window)
 }
 
-// Ended applies the end of a call of the upstream.
+// Ended applies the end of a call to the upstream.
 func (g *Guard) Ended(now time.Time, ref TaskRef, result messenger.TaskResult) {
 	g.running--
 	g.releaseTask(ref)
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -17,14 +17,14 @@
 
 var testLimits = Limits{Window: time.Minute, MaxRecordBytes: 4 * recordBytes, MaxWaiting: 4}
 
-// TestScripts runs each script with many sets of ids: what a guard does may not depend
-// on which ids the jobs got.
+// TestScripts runs each script with many sets of ids, because the guard's behaviour
+// must not depend on the ids of the jobs.
 func TestScripts(t *testing.T) {
 	const seeds = 2000
 	scripter.RunSeeds(t, "testdata/*.txtar", seeds, runScript)
 }
 
-// bench drives one guard with the lines of a script.
+// scriptRun drives one guard with the lines of a script.
 type scriptRun struct {
 	t     *testing.T
 	guard *Guard
@@ -117,7 +117,7 @@
 	return s
 }
 
-// report writes what the guard wants done after a line.
+// report writes the guard's output after a line.
 func (b *scriptRun) report(l scripter.Line) {
 	fmt.Fprintf(&b.out, "%s %s\n", l.Verb, strings.Join(l.Args, " "))
 	out := b.guard.Take(b.now)
--- a/internal/guard/queue.go
+++ b/internal/guard/queue.go
@@ -12,20 +12,20 @@
 type pending struct {
 	from  messenger.Peer
 	ref   TaskRef
-	start *messenger.Start // start is shared by the tasks of one message and is not changed.
+	start *messenger.Start // start is shared by the tasks of one message and must not be changed.
 	task  *messenger.TaskStart
-	rank  time.Duration // rank orders the starts that wait; the least goes first.
+	rank  time.Duration // rank orders the queue; the lowest is first.
 }
 
-// startQueue has the starts that wait, in order of rank.
+// startQueue is the queue of starts that wait for a slot, in order of rank.
 type startQueue struct {
-	items []pending // the first head items have left.
+	items []pending // The first head items have been removed.
 	head  int
 }
 
 func (q *startQueue) len() int { return len(q.items) - q.head }
 
-// insert adds a start behind those of the same rank.
+// insert adds a start after all starts of the same rank.
 func (q *startQueue) insert(p pending) {
 	i := len(q.items)
 	for i > q.head && q.items[i-1].rank > p.rank {
@@ -62,8 +62,8 @@
 	q.head = 0
 }
 
-// refuseWaiting refuses the waiting starts that may no longer go ahead, so that
-// their owners learn it before a slot is free.
+// refuseWaiting refuses the waiting starts that no longer pass the checks, so that
+// their owners are told before a slot is free.
 func (g *Guard) refuseWaiting(now time.Time) {
 	if g.waiting.len() == 0 {
 		return
--- a/internal/guard/record.go
+++ b/internal/guard/record.go
@@ -31,18 +31,18 @@
 	return out
 }
 
-// record is what the guard remembers of one submission.
+// record is the state of one submission at the guard.
 type record struct {
-	lastUsed  time.Duration          // used is the agent's clock at the last event; the window counts from it.
-	started   taskSet                // started has every task that was ever started.
+	lastUsed  time.Duration          // lastUsed is the agent's clock at the last event, from which the window counts.
+	started   taskSet                // started has every task that has started.
 	running   []uint16               // running has the tasks that started and have not ended.
-	ended     []messenger.TaskResult // ended has the results; it is nil once settled.
+	ended     []messenger.TaskResult // ended has the results; nil once settled.
 	key       string                 // key is the request key of the first start.
-	service   string                 // service is shared between records.
+	service   string                 // service is a string shared between records.
 	digest    uint64
 	cancelled bool // cancelled bars every further start.
-	acked     bool // known means that the owner has said that it has the results.
-	settled   bool // settled means that the results were dropped after that.
+	acked     bool // acked is set once the owner has acknowledged the results.
+	settled   bool // settled is set once the acknowledged results have been dropped.
 }
 
 func (r *record) start(clock time.Duration, index uint16) {
@@ -51,7 +51,7 @@
 	r.running = append(r.running, index)
 }
 
-// end records the end of a task and returns the bytes that its result takes.
+// end records the end of a task and returns the size of its result in bytes.
 func (r *record) end(clock time.Duration, result messenger.TaskResult) int {
 	r.lastUsed = clock
 	if i := slices.Index(r.running, result.Index); i >= 0 {
@@ -64,7 +64,7 @@
 	return resultBytes(&result)
 }
 
-// resultBytes returns the bytes that the results take.
+// resultBytes returns the size of the results in bytes.
 func (r *record) resultBytes() int {
 	n := 0
 	for i := range r.ended {
@@ -73,7 +73,8 @@
 	return n
 }
 
-// settle drops the results, which the owner has, and returns the bytes freed.
+// settle drops the results, which the owner has received, and returns the bytes
+// freed.
 func (r *record) settle() int {
 	freed := r.resultBytes()
 	r.ended = nil
--- a/internal/guard/records.go
+++ b/internal/guard/records.go
@@ -9,36 +9,36 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// Sizes in bytes of what the records hold, for the memory limit. The size of a
-// map entry allows for the table's free slots.
+// Sizes in bytes that count against the memory limit. The size of a map entry
+// includes its share of the map's free slots.
 const (
 	mapEntryBytes   = 72
 	recordBytes     = int(unsafe.Sizeof(record{})) + int(unsafe.Sizeof(expiry{})) + mapEntryBytes + runningBytes
-	runningBytes    = 16 // runningBytes is the smallest array behind record.running with its allocation class.
+	runningBytes    = 16 // runningBytes is the smallest allocation behind record.running.
 	taskResultBytes = int(unsafe.Sizeof(messenger.TaskResult{}))
 )
 
-// recordTable has the records of all partitions. Records leave in the order of
-// their last use, so that expiry never scans them.
+// recordTable has the records of all partitions. Records expire from a queue
+// ordered by time, so that expiry never scans the table.
 type recordTable struct {
 	limitBytes    int
-	bytes         int // bytes is what the records take, by the sizes above.
+	bytes         int // bytes is the size of the records, by the sizes above.
 	partitions    [identifier.Partitions]map[identifier.Submission]*record
 	count         int
-	queue         []expiry // queue has one entry a record, in order of at; the first head entries are done.
+	queue         []expiry // queue has one expiry per record, in order of time; the first head ones are done.
 	head          int
-	retained      []retainedResult  // retained has the results that owners have, oldest first.
-	retainedBytes int               // retainedBytes is the bytes of retained results.
-	services      map[string]string // services has one copy of each service name.
+	retained      []retainedResult  // retained lists the results that owners have acknowledged, oldest first.
+	retainedBytes int               // retainedBytes is the size of the retained results.
+	services      map[string]string // services interns the service names.
 }
 
-// expiry says when a record must be looked at again.
+// expiry is the time at which a record must be checked for expiry.
 type expiry struct {
 	id identifier.Submission
 	at time.Duration // at is on the agent's clock.
 }
 
-// retainedResult are the results of a record that its owner has.
+// retainedResult describes the results of a record that its owner has acknowledged.
 type retainedResult struct {
 	id    identifier.Submission
 	until time.Duration // until is on the agent's clock.
@@ -53,8 +53,8 @@
 	return t.partitions[p][id]
 }
 
-// full reports whether the limit leaves no room for more work, with the bytes that
-// other records take.
+// full reports whether more work would exceed the memory limit, given the size of
+// the records in other tables. A new submission also needs a record.
 func (t *recordTable) full(isNew bool, others int) bool {
 	if isNew {
 		others += recordBytes
@@ -62,7 +62,7 @@
 	return t.bytes+others > t.limitBytes
 }
 
-// add returns the record of a submission and makes it if there is none.
+// add returns the record of a submission, creating it if there is none.
 func (t *recordTable) add(clock, window time.Duration, id identifier.Submission) *record {
 	p := id.Partition()
 	if r := t.partitions[p][id]; r != nil {
@@ -79,7 +79,8 @@
 	return r
 }
 
-// describe keeps what a start says about its submission.
+// setRequest stores the service, request key and digest of a start in its record,
+// unless the record has them.
 func (t *recordTable) setRequest(r *record, s *messenger.Start) {
 	if r.service != "" {
 		return
@@ -95,14 +96,14 @@
 	t.bytes += len(r.key)
 }
 
-// retain keeps the results of a record for a while although its owner has them.
+// retain keeps the acknowledged results of a record until the given time.
 func (t *recordTable) retain(id identifier.Submission, until time.Duration, bytes int) {
 	t.retained = append(t.retained, retainedResult{id: id, until: until, bytes: bytes})
 	t.retainedBytes += bytes
 }
 
-// release drops the retained results whose time has passed, and the oldest of
-// the others beyond the limit.
+// releaseRetained drops the retained results whose time has passed, then the oldest
+// ones while the total exceeds the limit.
 func (t *recordTable) releaseRetained(clock time.Duration, limitBytes int) {
 	n := 0
 	for n < len(t.retained) && (t.retained[n].until <= clock || t.retainedBytes > limitBytes) {
@@ -116,7 +117,7 @@
 	t.retained = slices.Delete(t.retained, 0, n)
 }
 
-// forget drops the records that were not used within the window.
+// expire drops the records that were not used within the window.
 func (t *recordTable) expire(clock, window time.Duration) {
 	for t.head < len(t.queue) && t.queue[t.head].at < clock {
 		e := t.queue[t.head]
@@ -140,7 +141,7 @@
 	}
 }
 
-// of returns the records of one partition in the order of their ids.
+// messages returns the records of one partition in the order of their ids.
 func (t *recordTable) messages(p identifier.Partition, unsettledOnly bool) []messenger.Record {
 	var out []messenger.Record
 	for id, r := range t.partitions[p] {
--- a/internal/guard/rules.go
+++ b/internal/guard/rules.go
@@ -6,8 +6,8 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// Rules are the checks of a start, each as a seam. Production code uses
-// [DefaultRules]; tests replace single rules to show what each is needed for.
+// Rules are the checks of a start, each replaceable. Production code uses
+// [DefaultRules]; tests replace single rules to show that each is needed.
 type Rules struct {
 	// Duplicate reports whether a start must be refused because the task had
 	// started before.
@@ -21,10 +21,11 @@
 	// Cancelled reports whether a start must be refused because the submission was
 	// cancelled.
 	Cancelled func(cancelled bool) bool
-	// Expired reports whether a start must be refused at the time of the agent's
-	// clock.
+	// Expired reports whether a start must be refused because its start-by time has
+	// passed on the agent's clock.
 	Expired func(clock, startBy time.Duration) bool
-	// Recorded reports whether an owner is told of what has started.
+	// ReportRecords reports whether a fence is answered with the records of what has
+	// started.
 	ReportRecords func() bool
 }
 
@@ -40,7 +41,7 @@
 	}
 }
 
-// check returns why a start must be refused now, or "" if it may go ahead. The
+// check returns the reason to refuse a start now, or "" if it may proceed. The
 // check for a duplicate comes first, because every other refusal is proof that
 // the task did not start.
 func (g *Guard) check(now time.Time, p *pending) messenger.Refusal {
--- a/internal/guard/start.go
+++ b/internal/guard/start.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// startWaiting starts waiting tasks while slots are free. Each is checked again:
-// what held when it arrived may no longer hold.
+// startWaiting starts waiting tasks while slots are free. Each is checked again,
+// because conditions may have changed since it arrived.
 func (g *Guard) startWaiting(now time.Time) {
 	for g.waiting.len() > 0 {
 		p := g.waiting.first()
@@ -48,7 +48,7 @@
 	}
 }
 
-// run records the start of a task and asks for the call.
+// run records the start of a task and requests the call to the upstream.
 func (g *Guard) run(now time.Time, p *pending) {
 	r := g.records.add(g.Clock(now), g.limits.Window, p.ref.Submission)
 	g.records.setRequest(r, p.start)
@@ -71,8 +71,9 @@
 	})
 }
 
-// cancel stops the running tasks of a submission and bars the others. The record
-// is kept even beyond the memory limit: it bars starts that are under way.
+// cancel aborts the running tasks of a submission and prevents further starts. The
+// record is created even beyond the memory limit, because it must stop starts that
+// are still in flight.
 func (g *Guard) cancel(now time.Time, from messenger.Peer, c *messenger.Cancel) {
 	if g.Rules.StaleEpoch(c.Epoch, g.epochs[c.Submission.Partition()]) {
 		return
--- a/internal/guard/transfer.go
+++ b/internal/guard/transfer.go
@@ -7,36 +7,39 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// maxPieceBytes bounds a piece of the records that are passed on. It is chosen: small
-// beside the largest message, and large enough that few pieces are needed.
+// maxPieceBytes bounds one piece of a record transfer. It is small compared with the
+// largest message, and large enough that few pieces are needed.
 const maxPieceBytes = 1 << 20
 
-// will is the passing of this agent's records to an heir when it leaves. Once it is
-// made, the agent starts nothing any more: what it passes on must be all.
+// recordTransfer is the transfer of this agent's records to a successor when it
+// leaves. Once it has started, the agent starts no more tasks, because the
+// transferred records must be complete.
 type recordTransfer struct {
 	started  bool
-	finished bool           // over means that an heir has all, or that there is none.
-	accepted bool           // kept means that an heir has all.
-	entry    messenger.Peer // entry passes the pieces on; empty while none was asked.
-	attempt  int            // attempt counts how often the passing was begun.
+	finished bool           // finished is set when a successor has all records, or none can be had.
+	accepted bool           // accepted is set when a successor has all records.
+	entry    messenger.Peer // entry relays the pieces; empty until one is chosen.
+	attempt  int            // attempt counts the attempts at the transfer.
 	pieces   []messenger.RecordTransfer
 }
 
-// entryDown begins anew if the entry has gone that passes the pieces on.
+// entryDown makes the transfer restart if the entry that relays the pieces has
+// disconnected.
 func (w *recordTransfer) entryDown(entry messenger.Peer) {
 	if w.entry == entry {
 		w.entry = ""
 	}
 }
 
-// Bequeath passes the records on, through the first entry that is connected. It must
-// be called again until [Guard.Bequeathed]; it does nothing while a task runs or waits.
+// TransferRecords transfers the records to a successor, through the first connected
+// entry. It must be called repeatedly until [Guard.RecordsTransferred] reports that the
+// transfer is finished; it does nothing while a task runs or waits.
 func (g *Guard) TransferRecords(_ time.Time) {
 	if g.running+g.waiting.len() > 0 || g.transfer.finished || g.transfer.entry != "" {
 		return
 	}
 	if !g.admitted && !g.transfer.started {
-		g.transfer.finished = true // Nothing can have started here.
+		g.transfer.finished = true // An agent that was never admitted has no records.
 		return
 	}
 	g.transfer.started = true
@@ -50,13 +53,13 @@
 	g.sendPiece(0)
 }
 
-// Bequeathed reports whether the passing of the records is over, and whether an heir
-// has them.
+// RecordsTransferred reports whether the transfer of the records is finished, and
+// whether a successor has accepted them all.
 func (g *Guard) RecordsTransferred() (finished, accepted bool) {
 	return g.transfer.finished, g.transfer.accepted
 }
 
-// divide returns all records in pieces.
+// splitRecords returns all records in pieces of limited size.
 func (g *Guard) splitRecords() []messenger.RecordTransfer {
 	pieces := []messenger.RecordTransfer{{}}
 	size := 0
@@ -76,7 +79,7 @@
 	return pieces
 }
 
-// messageBytes returns about what a record takes in a message.
+// messageBytes estimates the encoded size of a record.
 func messageBytes(r *messenger.Record) int {
 	const base, perTask = 64, 16
 	n := base + len(r.RequestKey) + len(r.Service)
@@ -93,7 +96,8 @@
 	f.RecordTransfers = append(f.RecordTransfers, piece)
 }
 
-// bequeathed applies what an entry says about the pieces.
+// applyTransferStatus applies an entry's answer to a piece: it finishes the transfer
+// or sends the next piece.
 func (g *Guard) applyTransferStatus(from messenger.Peer, m *messenger.RecordTransferStatus) {
 	switch {
 	case from != g.transfer.entry || m.Attempt != g.transfer.attempt:
@@ -106,9 +110,9 @@
 	}
 }
 
-// adopt takes a piece of the records of an agent that leaves, and says so. An agent
-// that leaves itself takes none, since its own pieces may be under way; nor does one
-// whose memory for records is full.
+// receiveTransfer stores a piece of the records of an agent that leaves, and
+// acknowledges it. It refuses the piece if this agent is leaving too, because its own
+// pieces may be in flight, if it was expelled, or if its memory for records is full.
 func (g *Guard) receiveTransfer(now time.Time, from messenger.Peer, m *messenger.RecordTransfer) {
 	answer := messenger.RecordTransferStatus{Agent: m.Agent, Attempt: m.Attempt, Pieces: m.Piece + 1}
 	if g.transfer.started || g.expelled || g.records.full(true, g.transferred.bytes) {
@@ -122,8 +126,9 @@
 	f.RecordTransferStatuses = append(f.RecordTransferStatuses, answer)
 }
 
-// adoptRecord joins a record with what other agents have left of the submission. Where
-// the results of one are gone, the answer cannot be complete; those of the others go.
+// mergeRecord merges a record with those that other agents have transferred for the
+// same submission. If one of them has dropped its results, the answer can't be
+// complete, so the results of the others are dropped too.
 func (g *Guard) mergeRecord(clock time.Duration, m *messenger.Record) {
 	r := g.transferred.add(clock, g.limits.Window, m.Submission)
 	r.lastUsed = clock
--- a/internal/guard/transfer_test.go
+++ b/internal/guard/transfer_test.go
@@ -12,8 +12,8 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// passOn carries pieces and answers between an agent and its heir until neither has
-// anything to say. It returns the number of pieces and their encoded bytes.
+// transferAll relays pieces and answers between an agent and its successor until
+// there are no more. It returns the number of pieces and their encoded size.
 func transferAll(t *testing.T, from, successor *Guard) (pieces, size int) {
 	t.Helper()
 	from.TransferRecords(benchStart)
@@ -38,24 +38,24 @@
 	}
 }
 
-// TestBequestBytes passes the records of a loaded agent on, and prints what one takes
-// in messages and at the heir.
+// TestBequestBytes transfers the records of a loaded agent, and prints the size of a
+// record in messages and at the successor.
 func TestBequestBytes(t *testing.T) {
 	const records = 100_000
 	from, successor := loadedGuard(records), loadedGuard(0)
 	pieces, size := transferAll(t, from, successor)
 	count, held := successor.Records()
 	if count != records {
-		t.Fatalf("the heir has %d records, want %d", count, records)
+		t.Fatalf("the successor has %d records, want %d", count, records)
 	}
-	t.Logf("%d pieces; %d bytes a record in messages, %d at the heir", pieces, size/records, held/records)
+	t.Logf("%d pieces; %d bytes a record in messages, %d at the successor", pieces, size/records, held/records)
 	if size/pieces > 2*maxPieceBytes {
 		t.Errorf("a piece has %d bytes, the bound is %d", size/pieces, maxPieceBytes)
 	}
 }
 
-// TestHeirAnswersForTheOther compares what a fence gets from the heir with what it got
-// from the agent that has left.
+// TestSuccessorAnswersFences checks that a fence gets the same records from the
+// successor as from the agent that has left.
 func TestSuccessorAnswersFences(t *testing.T) {
 	from, successor := loadedGuard(3), loadedGuard(0)
 	running := benchID(7)
@@ -63,31 +63,31 @@
 	from.TransferRecords(benchStart)
 	for _, s := range from.Take(benchStart).Sends {
 		if len(s.Frame.RecordTransfers) > 0 {
-			t.Fatal("an agent passes its records on while a task runs")
+			t.Fatal("the agent transfers its records while a task runs")
 		}
 	}
 	from.Ended(benchStart, TaskRef{Submission: running, Index: 4}, messenger.TaskResult{Index: 4, Kind: messenger.ResultDone, Payload: []byte("1")})
 	transferAll(t, from, successor)
 	if diff := cmp.Diff(fencedRecords(from), fencedRecords(successor), cmpopts.EquateEmpty()); diff != "" {
-		t.Errorf("records (-agent +heir):\n%s", diff)
+		t.Errorf("records (-agent +successor):\n%s", diff)
 	}
 	from.Receive(benchStart, benchEntry, startFrame(benchID(9), 0))
 	if out := from.Take(benchStart); len(out.Invocations) > 0 {
-		t.Error("an agent starts a task after it has passed its records on")
+		t.Error("the agent starts a task after it has transferred its records")
 	}
-	// The agent has left; its heir takes nothing while it leaves itself.
+	// A successor that is leaving too refuses further records.
 	successor.TransferRecords(benchStart)
 	successor.Receive(benchStart, benchEntry, &messenger.Frame{RecordTransfers: []messenger.RecordTransfer{{Agent: "other"}}})
 	for _, s := range successor.Take(benchStart).Sends {
 		for _, m := range s.Frame.RecordTransferStatuses {
 			if !m.Refused {
-				t.Error("an agent that leaves takes the records of another")
+				t.Error("a leaving agent accepts the records of another")
 			}
 		}
 	}
 }
 
-// fencedRecords returns all records that a fence of a new owner gets.
+// fencedRecords returns all records that fences of a new owner would get.
 func fencedRecords(g *Guard) []messenger.Record {
 	var out []messenger.Record
 	for p := range identifier.Partition(identifier.Partitions) {
@@ -97,7 +97,8 @@
 	return out
 }
 
-// TestAdoptedAreForgotten checks that an heir keeps records for the window alone.
+// TestTransferredRecordsExpire checks that a successor keeps transferred records only
+// for the window.
 func TestTransferredRecordsExpire(t *testing.T) {
 	from, successor := loadedGuard(10), loadedGuard(0)
 	transferAll(t, from, successor)
--- a/internal/guard/upstream.go
+++ b/internal/guard/upstream.go
@@ -7,7 +7,7 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// Upstream returns the announcement and its state.
+// Upstream returns the latest announcement and the state of the upstream.
 func (g *Guard) Upstream() (invoker.Announcement, messenger.UpstreamState) {
 	return g.upstream, g.state
 }
