--- a/internal/runner/health.go
+++ b/internal/runner/health.go
@@ -8,38 +8,42 @@
 )
 
 const (
-	// probeTasks is how many tasks run at a time at an upstream that is probed.
+	// probeTasks is how many tasks run at a time on an upstream that is being probed.
 	probeTasks = 1
-	// failLimit is the weighted share of failed tasks that makes an upstream suspect.
-	// Jobs that can never be done are a twentieth of the load at most.
+	// maxFailureRatio is the weighted ratio of failed tasks that makes an upstream
+	// suspect. It is well above 5%, the highest share of jobs that can never succeed.
 	maxFailureRatio = 0.35
-	// failWeight is the weight of one end in that share.
+	// failureWeight is the weight of one result in that ratio.
 	failureWeight = 0.15
-	// paceWeight is the weight of one task in the learned pace.
+	// slowdownWeight is the weight of one ended task in the moving average of the
+	// slowdown.
 	slowdownWeight = 0.1
-	// minBackOff and maxBackOff bound the time until a suspect upstream is probed. The
-	// lower bound is in the order of a job's objective.
+	// minBackoff and maxBackoff bound the time until a suspect upstream is probed. The
+	// lower bound is of the order of a job's latency objective.
 	minBackoff = 400 * time.Millisecond
 	maxBackoff = 1500 * time.Millisecond
-	// trustAfter is how long an upstream must behave until its earlier faults are forgotten.
+	// faultMemory is how long after a fault the backoff and the count of outages are
+	// reset.
 	faultMemory = 10 * time.Second
-	// paceHalfLife is the time in which an upstream that runs nothing loses half of what
-	// was learned of its pace: it is not passed over for good.
+	// slowdownHalfLife is the half-life of the measured slowdown while no new
+	// measurement comes, so that an idle upstream isn't avoided for ever.
 	slowdownHalfLife = time.Second
-	// maxPace bounds what one task teaches: far more than users see of a slow upstream.
+	// maxSlowdown bounds the slowdown of one measurement. It is far above the slowdown
+	// that users see of a slow upstream.
 	maxSlowdown = 8
 )
 
-// health is what the ends of tasks tell about the upstream.
+// health is the state of the upstream as derived from the ends and the progress of
+// its tasks.
 type health struct {
 	failureRatio     float64
 	slowdown         float64
-	slowdownAt       time.Duration // pacedAt is when a task last taught the pace.
-	reportedSlowdown float64       // toldPace is the pace when entries were last told of a change.
+	slowdownAt       time.Duration // slowdownAt is the time of the last measurement.
+	reportedSlowdown float64       // reportedSlowdown is the slowdown at the last change reported to entries.
 	backoff          time.Duration
-	probeAt          time.Duration // until is when the upstream may be probed; 0 if it is not suspect.
-	lastFault        time.Duration // faultAt is the time of the latest fault.
-	penaltyUntil     time.Duration // waryUntil is until when the upstream counts as slower.
+	probeAt          time.Duration // probeAt is when a suspect upstream may be probed; 0 if it is not suspect.
+	lastFault        time.Duration // lastFault is when the upstream last became suspect.
+	penaltyUntil     time.Duration // penaltyUntil is the end of the slowdown penalty.
 }
 
 func newHealth() health { return health{slowdown: 1, reportedSlowdown: 1, backoff: minBackoff} }
@@ -54,7 +58,7 @@
 	return messenger.RunnerProbing
 }
 
-// learn takes the run time of a task.
+// observeRunTime adds the run time of a task that has ended to the slowdown.
 func (h *health) observeRunTime(now, took, expected time.Duration) {
 	if expected <= 0 {
 		return
@@ -64,25 +68,27 @@
 	h.slowdownAt = now
 }
 
-// paceSample is the mean pace of the tasks that run, from their progress.
+// slowdownSample is the mean slowdown of the running tasks, from their progress.
 type slowdownSample struct {
 	sum   float64
 	count int
 }
 
 const (
-	// minPercent is the progress from which the run time of a task can be told.
+	// minPercent is the progress from which the run time of a task can be estimated.
 	minPercent = 4
-	// minElapsed is the run time from which the progress tells more than the time of the
-	// call.
+	// minElapsed is the run time above which the latency of the start call does not
+	// dominate the estimate.
 	minElapsed = 30 * time.Millisecond
-	// sampleWeight is the weight of one list in the pace; there are some 16 a second.
+	// progressWeight is the weight of one listing in the moving average of the
+	// slowdown; there are some 16 listings per second.
 	progressWeight = 0.35
-	// paceChange is the change of the pace that entries are told of at once.
+	// slowdownChange is the change of the slowdown that is reported to entries at once.
 	slowdownChange = 0.4
 )
 
-// add takes a task that has run for a time.
+// add adds a running task to the sample, unless its progress is too small to
+// estimate its run time.
 func (s *slowdownSample) add(elapsed time.Duration, percent int, expected time.Duration) {
 	if percent < minPercent && elapsed < expected || elapsed < minElapsed || expected <= 0 {
 		return
@@ -92,8 +98,8 @@
 	s.count++
 }
 
-// sample learns from the tasks that run, and reports whether the pace has changed by
-// much since entries were told.
+// observeProgress adds a sample of the running tasks to the slowdown, and reports
+// whether the slowdown has changed by slowdownChange since the last report.
 func (h *health) observeProgress(now time.Duration, s slowdownSample) bool {
 	if s.count > 0 {
 		h.slowdown = h.decayedSlowdown(now)
@@ -107,12 +113,12 @@
 	return true
 }
 
-// decayed returns the pace without what has been forgotten since.
+// decayedSlowdown returns the slowdown, decayed towards 1 since the last measurement.
 func (h *health) decayedSlowdown(now time.Duration) float64 {
 	return 1 + (h.slowdown-1)*math.Exp2(-float64(now-h.slowdownAt)/float64(slowdownHalfLife))
 }
 
-// done notes a task that ended with success.
+// done records a task that succeeded.
 func (h *health) done(now time.Duration) {
 	h.failureRatio *= 1 - failureWeight
 	if h.probeAt != 0 && now >= h.probeAt {
@@ -124,7 +130,7 @@
 	}
 }
 
-// failed notes a task that failed, and reports whether that makes the upstream
+// failed records a task that failed, and reports whether that makes the upstream
 // suspect.
 func (h *health) failed(now time.Duration) bool {
 	h.failureRatio += failureWeight * (1 - h.failureRatio)
@@ -147,29 +153,32 @@
 	h.backoff = min(2*h.backoff, maxBackoff)
 }
 
-// distrust makes an upstream that has come back count as slower for a while, for longer
-// each time: others go before it as long as they have room in time.
+// penalise adds a slowdown penalty to an upstream that has recovered from an outage.
+// The penalty lasts longer after each outage; during it, other upstreams are preferred
+// while they have capacity in time.
 func (h *health) penalise(now time.Duration, times int) {
 	h.penaltyUntil = now + min(minPenalty<<min(times-1, maxDoublings), maxPenalty)
 }
 
 const (
-	// minWary and maxWary bound how long an upstream counts as slower that has come back:
-	// from twice the time of an average task to that of a long one.
+	// minPenalty and maxPenalty bound the duration of the penalty: from twice the run
+	// time of an average task to the run time of a long one.
 	minPenalty = 500 * time.Millisecond
 	maxPenalty = 4 * time.Second
-	// waryPace is added to its pace: a task may be lost when half of it is done, and begins
-	// anew elsewhere.
+	// penaltySlowdown is added to the slowdown during the penalty: a task may be lost
+	// when it is half done, and is then restarted elsewhere.
 	penaltySlowdown = 1.5
-	// maxDoublings is after how many falls the time of distrust has reached its bound.
+	// maxDoublings is the number of outages after which the penalty has reached its
+	// longest duration.
 	maxDoublings = 3
 )
 
-// pace returns the run time of recent tasks by the expected one, in percent.
+// slowdownPercent returns the run time of recent tasks relative to the expected one,
+// in percent, including the penalty.
 func (h *health) slowdownPercent(now time.Duration) int64 {
-	pace := h.decayedSlowdown(now)
+	slowdown := h.decayedSlowdown(now)
 	if now < h.penaltyUntil {
-		pace += penaltySlowdown
+		slowdown += penaltySlowdown
 	}
-	return int64(pace * 100)
+	return int64(slowdown * 100)
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -1,16 +1,16 @@
 // Package runner decides what an agent does with an upstream that is driven by
 // starts, stops and a lease.
 //
-// The runner is the only one that starts tasks at its upstream, and never lets
-// their room exceed the capacity: the room of a task is charged from before its
-// start is sent until the upstream has listed its end, or provably runs nothing any
-// more. Tasks belong to the session of the entry that launched them. When a session
-// ends, or the entry has not heard of the runner for a while, its tasks are
-// stopped, and the entry is not dialled before they are gone: an entry that is
-// connected knows that nothing from before is left.
+// Only the runner starts tasks on its upstream, and it never lets their resources
+// exceed the capacity: the resources of a task are charged from before its start is
+// sent until the upstream has listed its end, or provably runs nothing. Tasks belong
+// to the session of the entry that launched them. When a session ends, or the entry
+// has received nothing from the runner for the liveness timeout, its tasks are stopped,
+// and the entry is not dialled before they have ended: an entry that is connected
+// knows that none of its earlier tasks is left.
 //
-// A [Runner] is given events and the time, and does nothing but to return what must
-// be done. All times are on the agent's clock, as durations.
+// A [Runner] does no I/O: it is given events and the time, and returns the actions to
+// carry out. All times are on the agent's clock, as durations.
 package runner
 
 import (
@@ -23,87 +23,88 @@
 
 // Limits are the settings of a runner.
 type Limits struct {
-	// Silence is how long an entry may not have heard of the runner before its tasks
-	// are stopped.
+	// LivenessTimeout is how long an entry may go without receiving from the runner
+	// before its tasks are stopped.
 	LivenessTimeout time.Duration
-	// Lease is how long the upstream runs tasks without being asked to go on.
+	// LeaseDuration is how long the upstream runs tasks without a renewal.
 	LeaseDuration time.Duration
-	// StopRetry is how long a stop may be without an answer before it is sent again.
+	// StopRetryInterval is the time after which an unanswered stop is sent again.
 	StopRetryInterval time.Duration
-	// StopsPending is how long a stop may be without an answer before the lease is no
+	// MaxStopPending is how long a stop may remain unanswered before the lease is no
 	// longer renewed, so that the task ends in any case.
 	MaxStopPending time.Duration
-	// StallAfter is how long a task may make no progress.
+	// StallTimeout is how long a task may make no progress.
 	StallTimeout time.Duration
-	// ReportEvery is the least time between two reports of the load to an entry that
-	// gets nothing else, for each entry that is connected.
+	// LoadReportInterval, multiplied by the number of connected entries, is the shortest
+	// time between two load reports to an entry that is sent nothing else.
 	LoadReportInterval time.Duration
-	// BeatEvery is the longest time between two frames to an entry.
+	// HeartbeatInterval is the longest time between two frames to an entry.
 	HeartbeatInterval time.Duration
-	// RestBeat is that time for an entry that has had no task here for RestAfter. It may
-	// be silent for as much longer.
+	// IdleHeartbeatInterval is the heartbeat interval of an entry that has had no task
+	// here for IdleThreshold. Its liveness timeout is longer by the same amount.
 	IdleHeartbeatInterval time.Duration
 	IdleThreshold         time.Duration
 }
 
-// clockSkew is by how much the upstream's clock may be slow, as a divisor: 2%.
+// clockSkewDivisor bounds how slow the upstream's clock may be, as a divisor: 2%.
 const clockSkewDivisor = 50
 
-// Life names one run of the upstream: what it ran before is gone.
+// Incarnation identifies one start of the upstream. Runs of an earlier incarnation
+// have ended.
 type Incarnation struct {
 	ID     string
-	Number int64 // Born grows with each run of the same upstream.
+	Number int64 // Number grows with each start of the same upstream.
 }
 
-// String names the life in messages to entries.
+// String returns the name of the incarnation in messages to entries.
 func (l Incarnation) String() string { return l.ID + "#" + strconv.FormatInt(l.Number, 36) }
 
-// same reports whether two lives are one. A list of runs does not name the
-// upstream, so that an empty ID stands for any.
+// matches reports whether two values may denote the same incarnation. A listing does
+// not name the upstream, so an empty ID matches any.
 func (l Incarnation) matches(o Incarnation) bool {
 	return l.Number == o.Number && (l.ID == o.ID || l.ID == "" || o.ID == "")
 }
 
-// Upstream is an announcement.
+// Announcement describes an upstream, as announced by itself.
 type Announcement struct {
 	Incarnation Incarnation
 	Service     string
 	Capacity    messenger.Resources
 	Labels      []string
 	Leaving     bool
-	Sequence    int64 // Sequence grows with each announcement of a life.
+	Sequence    int64 // Sequence grows with each announcement of an incarnation.
 }
 
 // Runner is the state of one agent.
 type Runner struct {
 	limits      Limits
 	incarnation Incarnation
-	upstream    *Announcement // upstream is the latest announcement of the life, or nil.
-	// answered means that the upstream has listed its runs in this life.
+	upstream    *Announcement // upstream is the latest announcement of the incarnation, or nil.
+	// answered is set once the upstream has listed its runs in this incarnation.
 	answered bool
-	// silent means that the upstream does not answer.
+	// silent is set while the upstream does not answer polls.
 	silent      bool
-	failedPolls int // misses counts the questions without an answer since the last list.
-	// closing means that the agent shuts down and takes nothing new.
+	failedPolls int // failedPolls counts the failed polls since the last listing.
+	// closing is set once the agent shuts down; no new task is accepted.
 	closing   bool
-	leaseEnds time.Duration // leaseEnds is when everything at the upstream has ended without a renewal.
-	lastEnd   int64         // seen is the number of the latest end that was taken note of.
+	leaseEnds time.Duration // leaseEnds is when the upstream ends all runs unless the lease is renewed.
+	lastEnd   int64         // lastEnd is the number of the latest end that was processed.
 	sessions  map[messenger.Peer]*session
 	tasks     map[messenger.TaskRef]*task
-	waiting   []*task // waiting has the tasks that have not started, in the order of urgency.
-	// strays are runs that the upstream lists and that no session owns.
+	waiting   []*task // waiting has the tasks that have not started, in order of urgency.
+	// orphans are runs that the upstream lists and that no session owns.
 	orphans map[messenger.TaskRef]uint64
 	used    messenger.Resources
 	health  health
-	// listedAt is when the latest list came; fresh means that it came soon after the one
-	// before.
+	// listedAt is when the latest listing came. recentListing is set if that was within
+	// recentListingAge of the listing before.
 	listedAt      time.Duration
 	recentListing bool
-	// falls counts how often the upstream has fallen silent or ended, up to fellAt, with
-	// less than trustAfter between.
+	// outages counts how often the upstream has fallen silent or restarted, with less
+	// than faultMemory between two outages; lastOutage is the time of the last one.
 	outages    int
 	lastOutage time.Duration
-	// blamed has the jobs whose failures were counted last.
+	// countedJobs has the jobs whose failures were counted most recently.
 	countedJobs [8]string
 	nextCounted int
 	out         Output
@@ -120,7 +121,7 @@
 	}
 }
 
-// Output is what the caller must do.
+// Output has the actions that the caller must carry out.
 type Output struct {
 	Starts    []StartCall
 	Stops     []StopCall
@@ -150,40 +151,40 @@
 	Frame *messenger.Frame
 }
 
-// Decision is a decision that is worth a line in the log.
+// Decision is a decision to be logged.
 type Decision struct {
 	Event  string // Event is in kebab case.
 	Task   messenger.TaskRef
 	Run    uint64
 	Reason string
-	Age    time.Duration // Age is that of the information that decided.
+	Age    time.Duration // Age is the age of the information behind the decision.
 }
 
-// state is where a task stands.
+// state is the state of a task.
 type state string
 
 const (
 	stateWaiting  state = "waiting"
-	stateStarting state = "starting" // stateStarting means that a start has no answer yet.
+	stateStarting state = "starting" // A start has no answer yet.
 	stateRunning  state = "running"
-	stateStopping state = "stopping" // stateStopping means that a stop has no answer yet.
-	stateStopped  state = "stopped"  // stateStopped means that the end is not listed yet.
+	stateStopping state = "stopping" // A stop has no answer yet.
+	stateStopped  state = "stopped"  // A stop was acknowledged, but the end is not listed yet.
 )
 
 type task struct {
 	messenger.Launch
 	session    *session
 	state      state
-	kind       messenger.EndKind // kind is what the end is reported as, if the task is stopped.
-	startedAt  time.Duration     // since is when the start was sent.
-	stoppedAt  time.Duration     // stopAt is when the first stop was sent.
+	kind       messenger.EndKind // kind is the kind of end that is reported if the task is stopped.
+	startedAt  time.Duration     // startedAt is when the start was sent.
+	stoppedAt  time.Duration     // stoppedAt is when the first stop was sent, or acknowledged.
 	retryAt    time.Duration     // retryAt is when a stop is sent again.
 	percent    int               // percent is the latest progress.
-	progressAt time.Duration     // progress is when the progress last changed.
+	progressAt time.Duration     // progressAt is when the progress last changed.
 }
 
-// Announce takes an announcement. It reports whether it was taken: one of a life or
-// with a sequence that is older than what is known is not.
+// Announce applies an announcement, and reports whether it was accepted. An
+// announcement of an older incarnation, or with an older sequence number, is not.
 func (r *Runner) Announce(now time.Duration, u Announcement) bool {
 	known := r.upstream != nil && r.upstream.Incarnation == u.Incarnation
 	switch {
@@ -209,7 +210,7 @@
 	return true
 }
 
-// Leave takes the end of an upstream.
+// Leave applies the departure of an upstream.
 func (r *Runner) Leave(now time.Duration, id string) {
 	if r.upstream == nil || r.upstream.Incarnation.ID != id {
 		return
@@ -220,7 +221,8 @@
 	r.requestReports()
 }
 
-// begin notes another life of the upstream. Nothing of an earlier one runs.
+// startIncarnation switches to a new incarnation of the upstream. All runs of an
+// earlier one have ended.
 func (r *Runner) startIncarnation(now time.Duration, l Incarnation) {
 	if r.incarnation != (Incarnation{}) {
 		r.logDecision(Decision{Event: "upstream-restarted"})
@@ -238,15 +240,15 @@
 	r.requestReports()
 }
 
-// loseAll ends all tasks: the upstream runs nothing any more.
+// endAll ends all tasks, because the upstream has no runs left.
 func (r *Runner) endAll(now time.Duration) {
 	for _, t := range r.sortedTasks() {
 		r.end(now, t, t.lostKind())
 	}
 }
 
-// lost returns what the end of a task is reported as when the upstream runs nothing
-// any more.
+// lostKind returns the kind of end to report for a task when the upstream has no runs
+// left.
 func (t *task) lostKind() messenger.EndKind {
 	switch {
 	case t.kind != "":
@@ -257,14 +259,14 @@
 	return messenger.EndLost
 }
 
-// returnWaiting gives back what has not started.
+// returnWaiting returns the tasks that have not started to their entries.
 func (r *Runner) returnWaiting(now time.Duration) {
 	for _, t := range slices.Clone(r.waiting) {
 		r.end(now, t, messenger.EndReturned)
 	}
 }
 
-// Close makes the runner take nothing new, for the shutdown of the agent.
+// Close makes the runner accept no new tasks, for the shutdown of the agent.
 func (r *Runner) Close(now time.Duration) {
 	r.closing = true
 	r.returnWaiting(now)
@@ -274,12 +276,12 @@
 // Idle reports whether no task is left.
 func (r *Runner) Idle() bool { return len(r.tasks) == 0 }
 
-// Counts returns the number of tasks that run and that wait, and the room in use.
+// Counts returns the number of running and of waiting tasks, and the resources in use.
 func (r *Runner) Counts() (running, waiting int, used messenger.Resources) {
 	return len(r.tasks) - len(r.waiting), len(r.waiting), r.used
 }
 
-// State returns how the runner stands to its upstream.
+// State returns the state of the upstream as reported to entries.
 func (r *Runner) State(now time.Duration) messenger.RunnerState {
 	switch {
 	case r.upstream == nil || !r.answered || r.silent || len(r.orphans) > 0:
@@ -292,7 +294,7 @@
 
 func (r *Runner) logDecision(d Decision) { r.out.Decisions = append(r.out.Decisions, d) }
 
-// sorted returns the tasks in a fixed order.
+// sortedTasks returns the tasks in a deterministic order.
 func (r *Runner) sortedTasks() []*task {
 	tasks := make([]*task, 0, len(r.tasks))
 	for _, t := range r.tasks {
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -16,23 +16,23 @@
 	LoadReportInterval: 10 * time.Millisecond, HeartbeatInterval: time.Hour,
 }
 
-// TestScripts runs the scripts of the data files. Each line is an event; the output
-// is what the runner asks for after it.
+// TestScripts runs the scripts in testdata. Each line is an event; the output has the
+// actions of the runner after it.
 //
 //	at TIME                                 sets the time
 //	announce ID BORN SEQUENCE CPU [leaving] announces the upstream
 //	leave ID                                ends the upstream
 //	up|down ENTRY                           begins or ends a session
 //	launch ENTRY ECHO JOB RUN CPU URGENCY [START-BY]  launches the first task of a job
-//	rests                                   sets how long an entry may rest, before all else
+//	rests                                   sets the idle limits; must be the first line
 //	withdraw ENTRY ECHO JOB RUN
-//	answer JOB RUN ANSWER [again]           answers a start, which was sent before
+//	answer JOB RUN ANSWER [again]           answers a start; again if it was a retry
 //	stopped JOB RUN true|false              answers a stop
 //	list BORN [running JOB:RUN:PERCENT]... [ended NUMBER:JOB:RUN:KIND]...
-//	silent|refused                          a question without an answer
-//	ask                                     prints the next question
-//	pace                                    prints the pace of the upstream, in percent
-//	loads                                   prints the reports of load from then on
+//	silent|refused                          a poll fails; refused if no process listens
+//	ask                                     prints the next poll
+//	pace                                    prints the slowdown of the upstream, in percent
+//	loads                                   prints the load reports from then on
 //	close                                   begins the shutdown
 func TestScripts(t *testing.T) {
 	scripter.Run(t, "testdata/*.txtar", func(t *testing.T, lines []scripter.Line) string {
@@ -49,7 +49,7 @@
 	runner *Runner
 	now    time.Duration
 	out    strings.Builder
-	loads  bool // loads means that reports of load are printed.
+	loads  bool // loads is set if load reports are printed.
 }
 
 func (s *script) line(l scripter.Line) {
--- a/internal/runner/session.go
+++ b/internal/runner/session.go
@@ -11,20 +11,21 @@
 // session is one connection to an entry.
 type session struct {
 	peer             messenger.Peer
-	echoed           time.Duration // heard is the latest stamp of this runner that the entry has had.
-	entryStamp       time.Duration // entry is the latest stamp of the entry.
-	launchesReceived uint64        // seen counts the launches that came on the connection.
+	echoed           time.Duration // echoed is the latest stamp of this runner that the entry has echoed.
+	entryStamp       time.Duration // entryStamp is the latest stamp of the entry.
+	launchesReceived uint64        // launchesReceived counts the launches received on the connection.
 	ends             []messenger.End
 	tasks            int // tasks counts the tasks that the session owns.
-	// emptyAt is when the last task of the session ended, and wokenAt when one came after
-	// a rest.
+	// idleSince is when the last task of the session ended; resumedAt is when a task
+	// came after an idle time.
 	idleSince, resumedAt time.Duration
-	reportDue            bool // dirty means that the entry must hear of the load soon.
-	loadChanged          bool // moved means that the room in use has changed since it was last sent.
-	// told is the room in use or asked for as the entry knows it, with its own launches.
+	reportDue            bool // reportDue is set if the load must be reported to the entry soon.
+	loadChanged          bool // loadChanged is set if the load has changed since the last report.
+	// reportedLoad is the resources in use or requested as known to the entry: the last
+	// report and the entry's own launches since.
 	reportedLoad messenger.Resources
 	sentAt       time.Duration // sentAt is when the latest frame was sent.
-	closed       bool          // closed means that the connection has ended.
+	closed       bool          // closed is set once the session has ended.
 }
 
 // EntryUp begins the session of an entry.
@@ -39,7 +40,7 @@
 	}
 }
 
-// Orphaned reports whether tasks of any ended session are left.
+// HasOrphans reports whether tasks of any ended session, or orphan runs, are left.
 func (r *Runner) HasOrphans() bool {
 	for _, t := range r.tasks {
 		if t.session.closed {
@@ -65,7 +66,7 @@
 	}
 }
 
-// Receive takes a frame of an entry.
+// Receive applies a frame from an entry.
 func (r *Runner) Receive(now time.Duration, peer messenger.Peer, f *messenger.Frame) {
 	s := r.sessions[peer]
 	if s == nil {
@@ -76,7 +77,7 @@
 		s.echoed = max(s.echoed, f.Stamp.Echo)
 	}
 	if r.sinceEcho(now, s) > r.limits.LivenessTimeout {
-		// A frame that was held up on its way must not start anything.
+		// A frame that was delayed in transit must not start anything.
 		r.closeSilent(now, s)
 		return
 	}
@@ -90,12 +91,12 @@
 	s.loadChanged = s.loadChanged || len(f.Launches) > 0
 }
 
-// rested reports whether the session has had no task for a time.
+// idleFor reports whether the session has had no task for at least d.
 func (s *session) idleFor(now, d time.Duration) bool { return s.tasks == 0 && now-s.idleSince >= d }
 
-// unheard returns for how long the entry has not heard of the runner that should have.
-// The first task after a rest counts as heard: it bears the latest start, so that one
-// that was held up on its way does not start.
+// sinceEcho returns the time since the latest echo of the entry, less the allowance
+// for an idle session. The first task after an idle time counts as an echo: it carries
+// its latest start time, so that a task that was delayed in transit does not start.
 func (r *Runner) sinceEcho(now time.Duration, s *session) time.Duration {
 	d := now - max(s.echoed, s.resumedAt)
 	if s.idleFor(now, r.limits.IdleThreshold/2) {
@@ -146,20 +147,21 @@
 func (r *Runner) withdraw(now time.Duration, s *session, w *messenger.Withdraw) {
 	t := r.tasks[w.Task]
 	if t == nil || t.Run != w.Run || t.session != s {
-		// The end is on its way, or the launch was refused.
+		// The end is in flight, or the launch was refused.
 		return
 	}
 	r.stop(now, t, messenger.EndWithdrawn, "withdrawn")
 }
 
-// dirty notes that every entry must hear of the load.
+// requestReports makes a load report due for every entry.
 func (r *Runner) requestReports() {
 	for _, s := range r.sessions {
 		s.reportDue = true
 	}
 }
 
-// moved notes that the room in use or asked for has changed.
+// markLoadChanged records for every entry that the resources in use or requested have
+// changed.
 func (r *Runner) markLoadChanged() {
 	for _, s := range r.sessions {
 		s.loadChanged = true
--- a/internal/runner/take.go
+++ b/internal/runner/take.go
@@ -8,16 +8,17 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// Question is what the upstream must be asked next.
+// PollRequest asks the upstream for the list of its runs, and may renew the lease.
 type PollRequest struct {
 	Incarnation Incarnation
-	LastEnd     int64 // Seen is the number of the latest end that was taken note of.
-	// Renew is the time to which the lease is to be extended; 0 leaves it as it is.
+	LastEnd     int64 // LastEnd is the number of the latest end that was processed.
+	// LeaseUntil is the time to which the lease is to be extended; 0 does not renew it.
 	LeaseUntil time.Duration
 }
 
-// Ask returns what the upstream must be asked now. The lease is not renewed while a
-// stop is without an answer for long: then everything ends with it.
+// NextPoll returns the poll to send to the upstream now. The lease is not renewed while
+// orphans are left, or a stop has been unanswered for longer than MaxStopPending; when
+// the lease then expires, all runs end.
 func (r *Runner) NextPoll(now time.Duration) PollRequest {
 	q := PollRequest{Incarnation: r.incarnation, LastEnd: r.lastEnd}
 	if len(r.orphans) > 0 {
@@ -33,14 +34,14 @@
 	return q
 }
 
-// maxMisses is how many questions in a row may be without an answer until nothing
-// more is started: single ones are lost.
+// maxFailedPolls is the number of polls in a row that must fail before no more tasks
+// are started, because single polls get lost.
 const maxFailedPolls = 3
 
 func (r *Runner) extendLease(to time.Duration) { r.leaseEnds = max(r.leaseEnds, to) }
 
-// Unanswered takes the failure of a question. If the upstream is closed, nothing
-// listens at its address.
+// PollFailed applies the failure of a poll. If closed is set, no process listens at the
+// upstream's address, so all its runs have ended.
 func (r *Runner) PollFailed(now time.Duration, closed bool) {
 	if closed {
 		if len(r.tasks) > 0 {
@@ -59,7 +60,7 @@
 	}
 }
 
-// fell notes that the upstream has fallen silent or ended.
+// recordOutage records that the upstream has fallen silent or restarted.
 func (r *Runner) recordOutage(now time.Duration) {
 	if now-r.lastOutage > faultMemory {
 		r.outages = 0
@@ -68,7 +69,7 @@
 	r.lastOutage = now
 }
 
-// Take returns what must be done since the last call.
+// Take returns the actions that have become due since the last call.
 func (r *Runner) Take(now time.Duration) Output {
 	r.closeSilentSessions(now)
 	r.checkLease(now)
@@ -88,7 +89,7 @@
 	}
 }
 
-// checkLease ends what must have ended because the lease was not renewed.
+// checkLease ends the tasks whose runs must have ended because the lease expired.
 func (r *Runner) checkLease(now time.Duration) {
 	if r.leaseEnds == 0 || now < r.leaseEnds+r.limits.LeaseDuration/clockSkewDivisor+leaseMargin {
 		return
@@ -100,8 +101,8 @@
 			continue
 		}
 		lost = true
-		// A start that was held up on its way may still be carried out. Its room
-		// stays charged until a stop is acknowledged.
+		// A start that was delayed in transit may still be executed. Its resources
+		// stay charged until a stop is acknowledged.
 		if t.state == stateStarting || t.state == stateStopping && t.kind == messenger.EndUnresolved {
 			continue
 		}
@@ -112,7 +113,7 @@
 	}
 }
 
-// leaseMargin is added to the end of a lease for the way of the last renewal.
+// leaseMargin is added to the end of a lease for the transit of the last renewal.
 const leaseMargin = 50 * time.Millisecond
 
 func (r *Runner) retryStops(now time.Duration) {
@@ -126,7 +127,7 @@
 	}
 }
 
-// startWaiting starts what fits, the most urgent first.
+// startWaiting starts the waiting tasks that fit, the most urgent first.
 func (r *Runner) startWaiting(now time.Duration) {
 	if len(r.waiting) == 0 {
 		return
@@ -163,7 +164,8 @@
 	r.out.Starts = append(r.out.Starts, StartCall{Incarnation: r.incarnation, Task: t.Task, Run: t.Run, Payload: t.Payload})
 }
 
-// report makes the frames for the entries that must hear something.
+// report makes the frames for the entries for which ends, a load report or a heartbeat
+// are due.
 func (r *Runner) report(now time.Duration) {
 	reportEvery := r.limits.LoadReportInterval * time.Duration(max(1, len(r.sessions)))
 	for _, peer := range sortedPeers(r.sessions) {
@@ -187,15 +189,15 @@
 	}
 }
 
-// moveShare and freeShare say by how much what an entry knows of the room in use may be
-// wrong until it is told, as divisors of the capacity and of what is free: where little
-// is free, each task matters.
+// capacityDivisor and freeDivisor bound the error of the load known to an entry, as
+// divisors of the capacity and of the free capacity. A larger error is reported before
+// the next heartbeat: where little is free, each task matters.
 const (
 	capacityDivisor = 8
 	freeDivisor     = 4
 )
 
-// strayed reports whether what an entry knows of the room in use is too far off.
+// reportOutdated reports whether the load known to an entry is too inaccurate.
 func (r *Runner) reportOutdated(s *session) bool {
 	if r.upstream == nil {
 		return true
@@ -206,13 +208,14 @@
 		significant(d.Accelerators, c.Accelerators, free.Accelerators)
 }
 
-// far reports whether a difference is large beside the capacity or what is free.
+// significant reports whether a difference is large relative to the capacity or the
+// free capacity.
 func significant(difference, capacity, free int64) bool {
 	d := max(difference, -difference)
 	return d > 0 && (d*capacityDivisor >= capacity || d*freeDivisor >= free)
 }
 
-// queued returns the room that is asked for by what waits.
+// queued returns the resources requested by the waiting tasks.
 func (r *Runner) queued() messenger.Resources {
 	var sum messenger.Resources
 	for _, t := range r.waiting {
--- a/internal/runner/task.go
+++ b/internal/runner/task.go
@@ -15,13 +15,14 @@
 	AnswerStarted          Answer = "started"
 	AnswerRefused          Answer = "refused"    // The upstream did not start the task.
 	AnswerStaleRun         Answer = "stale-run"  // The upstream has seen a higher run of the task.
-	AnswerOtherIncarnation Answer = "other-life" // The upstream is another one than was meant.
-	AnswerUnhealthy        Answer = "unhealthy"  // The upstream refuses work and has done nothing.
-	AnswerNone             Answer = "none"       // Whether the start took effect is open.
+	AnswerOtherIncarnation Answer = "other-life" // The start was meant for another incarnation.
+	AnswerUnhealthy        Answer = "unhealthy"  // The upstream refuses work; the task did not start.
+	AnswerNone             Answer = "none"       // Whether the task started is not known.
 )
 
-// Started takes the answer to a start. If the start was sent before without an answer,
-// a refusal says nothing about that one: it may have run, or may still be carried out.
+// Started applies the answer to a start. If retried is set, the start was sent before
+// and not answered; a refusal then says nothing about the first attempt, which may have
+// run or may still be executed.
 func (r *Runner) Started(now time.Duration, c StartCall, a Answer, retried bool) {
 	if retried && a != AnswerStarted && a != AnswerOtherIncarnation {
 		a = AnswerNone
@@ -51,10 +52,10 @@
 	}
 }
 
-// Stopped takes the answer to a stop: whether the upstream has acknowledged it.
+// Stopped applies the result of a stop: whether the upstream has acknowledged it.
 func (r *Runner) Stopped(now time.Duration, c StopCall, acknowledged bool) {
 	if run, ok := r.orphans[c.Task]; ok && run == c.Run {
-		// The next list of runs tells whether it is gone.
+		// The next listing shows whether the run has ended.
 		return
 	}
 	t := r.tasks[c.Task]
@@ -67,37 +68,37 @@
 	}
 }
 
-// Run is one run in a list of the upstream.
+// Run is a current run in a listing.
 type Run struct {
 	Task    messenger.TaskRef
 	Run     uint64
 	Percent int // Percent is the progress, from 0 to 100.
 }
 
-// RunEnd is the end of a run in a list of the upstream.
+// RunEnd is the end of a run in a listing.
 type RunEnd struct {
-	Number int64 // Number counts the ends of a life from 1.
+	Number int64 // Number counts the ends of an incarnation from 1.
 	Task   messenger.TaskRef
 	Run    uint64
 	Kind   messenger.EndKind
 }
 
-// Listing is the upstream's answer to the question what it runs.
+// Listing is the upstream's answer to a poll: its current and ended runs.
 type Listing struct {
 	Incarnation Incarnation
 	Running     []Run
 	Ended       []RunEnd
-	// AskedAt is when the question was sent.
+	// RequestedAt is when the poll was sent.
 	RequestedAt time.Duration
-	// Renewed is the time to which the lease was asked to be extended, or 0.
+	// LeaseUntil is the time to which the poll asked to extend the lease, or 0.
 	LeaseUntil time.Duration
 }
 
-// freshFor is the time since the list before within which ends tell how long the
-// tasks ran. Lists come every 60 ms.
+// recentListingAge is the longest time since the previous listing at which an end is
+// recent enough to derive the run time of a task. Listings come every 60 ms.
 const recentListingAge = 100 * time.Millisecond
 
-// Listed takes a list of the upstream.
+// Listed applies a listing.
 func (r *Runner) Listed(now time.Duration, l Listing) {
 	if !l.Incarnation.matches(r.incarnation) {
 		if l.Incarnation.Number < r.incarnation.Number {
@@ -125,20 +126,20 @@
 		r.applyEnd(now, e)
 	}
 	listed := make(map[messenger.TaskRef]uint64, len(l.Running))
-	pace := slowdownSample{}
+	sample := slowdownSample{}
 	for _, run := range l.Running {
 		listed[run.Task] = run.Run
 		r.applyProgress(now, run)
 		if t := r.tasks[run.Task]; t != nil && t.Run == run.Run && t.state == stateRunning {
-			pace.add(now-t.startedAt, run.Percent, t.ExpectedRunTime)
+			sample.add(now-t.startedAt, run.Percent, t.ExpectedRunTime)
 		}
 	}
-	if r.health.observeProgress(now, pace) {
+	if r.health.observeProgress(now, sample) {
 		r.requestReports()
 	}
 	r.removeOrphans(listed)
 	for _, t := range r.sortedTasks() {
-		// What was stopped and is not in a list that was asked for afterwards is gone.
+		// A stopped run that is missing from a listing requested afterwards has ended.
 		if t.state == stateStopped && listed[t.Task] != t.Run && t.stoppedAt < l.RequestedAt {
 			r.end(now, t, t.kind)
 		}
@@ -185,8 +186,9 @@
 	r.end(now, t, kind)
 }
 
-// blames reports whether a failure of a job's task speaks against the upstream: a job
-// that can never be done fails everywhere, and counts once.
+// countsFailure reports whether a failure of a job's task counts against the upstream.
+// A job that can never succeed fails on every upstream, so a job counts only once while
+// it is among the most recently counted ones.
 func (r *Runner) countsFailure(job string) bool {
 	if slices.Contains(r.countedJobs[:], job) {
 		return false
@@ -201,7 +203,8 @@
 	r.requestReports()
 }
 
-// progress notes how far a run is and stops it if it stands still.
+// applyProgress records the progress of a run and stops it if it has stalled. A run
+// that no session owns becomes an orphan.
 func (r *Runner) applyProgress(now time.Duration, run Run) {
 	t := r.tasks[run.Task]
 	if t == nil || t.Run != run.Run || t.state == stateWaiting {
@@ -229,11 +232,11 @@
 	r.stop(now, t, messenger.EndStalled, "stalled")
 }
 
-// stallShare is the share of a task's expected time that it may stand still, as a
-// divisor: progress is told in hundredths.
+// stallDivisor gives the share of its expected run time that a task may go without
+// progress, as a divisor: progress is reported in whole percent.
 const stallDivisor = 8
 
-// stop ends a task: one that waits at once, another by a stop.
+// stop ends a waiting task at once, and sends a stop for any other.
 func (r *Runner) stop(now time.Duration, t *task, kind messenger.EndKind, reason string) {
 	switch t.state {
 	case stateWaiting:
@@ -254,7 +257,7 @@
 	r.out.Stops = append(r.out.Stops, StopCall{Incarnation: r.incarnation, Task: t.Task, Run: t.Run})
 }
 
-// end forgets a task and tells its entry.
+// end deletes a task and reports its end to the entry.
 func (r *Runner) end(now time.Duration, t *task, kind messenger.EndKind) {
 	delete(r.tasks, t.Task)
 	t.session.tasks--
