--- a/internal/guard/credit.go
+++ b/internal/guard/credit.go
@@ -95,8 +95,8 @@
 	}
 	g.resources.credits.SetSlots(slots)
 	for _, grant := range g.resources.credits.PendingGrants() {
-		if l := g.entries[grant.Entry]; l != nil && l.frame != nil {
-			l.frame.Credit = &messenger.Credit{Limit: grant.Limit}
+		if c := g.entries[grant.Entry]; c != nil && c.frame != nil {
+			c.frame.Credit = &messenger.Credit{Limit: grant.Limit}
 			g.resources.credits.GrantSent(grant)
 		}
 	}
@@ -128,30 +128,31 @@
 	if r.Kind != messenger.ResultDone || g.resources.unfinished[s] == 0 || g.limits.MaxResultDelay <= 0 {
 		return false
 	}
-	l := g.entries[to]
-	if len(l.delayed) == 0 {
-		l.delayedSince = now
+	c := g.entries[to]
+	if len(c.delayed) == 0 {
+		c.delayedSince = now
 	}
-	l.delayed = append(l.delayed, delayedResult{submission: s, result: r})
+	c.delayed = append(c.delayed, delayedResult{submission: s, result: r})
 	return true
 }
 
 // sendDelayed adds delayed results to the frames that are about to be sent. If no
-// frame is due for the entry, it makes one as soon as [Guard.delayedDue].
+// frame is due for the entry, they wait until [Guard.delayedDue]. The last result of a
+// job at this agent is never delayed, so the others are sent with it.
 func (g *Guard) sendDelayed(now time.Time) {
 	for _, entry := range g.entryOrder {
-		l := g.entries[entry]
-		if len(l.delayed) == 0 {
+		c := g.entries[entry]
+		if len(c.delayed) == 0 {
 			continue
 		}
-		if l.frame == nil && !g.delayedDue(now, l) {
-			g.out.wakeBy(l.delayedSince.Add(g.limits.MaxResultDelay))
+		if c.frame == nil && !g.delayedDue(now, c) {
+			g.out.wakeBy(c.delayedSince.Add(g.limits.MaxResultDelay))
 			continue
 		}
-		delayed := l.delayed
-		l.delayed = nil
-		for _, h := range delayed {
-			g.addResult(entry, h.submission, h.result)
+		delayed := c.delayed
+		c.delayed = nil
+		for _, d := range delayed {
+			g.addResult(entry, d.submission, d.result)
 		}
 	}
 }
@@ -159,15 +160,15 @@
 // delayedDue reports whether delayed results should be sent now: they have waited
 // for MaxResultDelay, an echo is due anyway, or the entry waits for credit and the
 // agent is running out of work.
-func (g *Guard) delayedDue(now time.Time, l *connection) bool {
-	if now.Sub(l.delayedSince) >= g.limits.MaxResultDelay || g.echoDue(now, l) {
+func (g *Guard) delayedDue(now time.Time, c *connection) bool {
+	if now.Sub(c.delayedSince) >= g.limits.MaxResultDelay || g.echoDue(now, c) {
 		return true
 	}
-	if l.backlog == 0 {
+	if c.backlog == 0 {
 		return false
 	}
 	idle := g.waiting.len() == 0 && g.running < g.upstream.Slots
-	return idle || len(l.delayed) >= delayedBatch && g.waiting.len() < g.upstream.Slots/lowWaterDivisor
+	return idle || len(c.delayed) >= delayedBatch && g.waiting.len() < g.upstream.Slots/lowWaterDivisor
 }
 
 const (
@@ -181,12 +182,12 @@
 
 // receiveBacklog applies the sender's backlog as reported in a frame. A frame with
 // starts but no report means that there is no backlog.
-func (g *Guard) receiveBacklog(l *connection, f *messenger.Frame) {
+func (g *Guard) receiveBacklog(c *connection, f *messenger.Frame) {
 	switch {
 	case f.Credit != nil:
-		l.backlog = f.Credit.Backlog
+		c.backlog = f.Credit.Backlog
 	case len(f.Starts) > 0:
-		l.backlog = 0
+		c.backlog = 0
 	}
 }
 
--- a/internal/guard/epochs.go
+++ b/internal/guard/epochs.go
@@ -65,17 +65,17 @@
 
 // takeRaised returns the raised epochs not yet reported on a connection and clears
 // them.
-func (g *Guard) takeRaised(l *connection) []messenger.PartitionEpoch {
-	if l.raised.empty() {
+func (g *Guard) takeRaised(c *connection) []messenger.PartitionEpoch {
+	if c.raised.empty() {
 		return nil
 	}
 	var out []messenger.PartitionEpoch
 	for p, epoch := range g.epochs {
-		if l.raised.has(identifier.Partition(p)) {
+		if c.raised.has(identifier.Partition(p)) {
 			out = append(out, messenger.PartitionEpoch{Partition: identifier.Partition(p), Epoch: epoch})
 		}
 	}
-	l.raised = partitionSet{}
+	c.raised = partitionSet{}
 	return out
 }
 
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -157,11 +157,11 @@
 
 // Receive applies a frame from an entry.
 func (g *Guard) Receive(now time.Time, from messenger.Peer, f *messenger.Frame) {
-	l := g.entries[from]
-	if l == nil {
+	c := g.entries[from]
+	if c == nil {
 		return
 	}
-	l.recordPing(now, f)
+	c.recordPing(now, f)
 	if f.Admit != nil {
 		g.admit(now, f.Admit)
 	}
@@ -177,7 +177,7 @@
 	if f.Fence != nil {
 		g.fence(now, from, f.Fence)
 	}
-	g.receiveBacklog(l, f)
+	g.receiveBacklog(c, f)
 	for i := range f.Starts {
 		g.start(now, from, &f.Starts[i])
 	}
@@ -219,18 +219,18 @@
 	g.sendDelayed(now)
 	g.addCredits()
 	for _, entry := range g.entryOrder {
-		l := g.entries[entry]
-		if l.frame == nil && l.ping == l.echoed {
+		c := g.entries[entry]
+		if c.frame == nil && c.ping == c.echoed {
 			continue
 		}
-		l.markEchoDue(now)
-		if until, ok := g.echoDelay(now, l); ok {
+		c.markEchoDue(now)
+		if until, ok := g.echoDelay(now, c); ok {
 			g.out.wakeBy(until)
 			continue
 		}
 		f := g.frameTo(entry)
-		f.Contact = &messenger.Contact{Echo: l.ping, Clock: g.Clock(now), Raised: g.takeRaised(l)}
-		l.clearSent()
+		f.Contact = &messenger.Contact{Echo: c.ping, Clock: g.Clock(now), Raised: g.takeRaised(c)}
+		c.clearSent()
 		g.out.Sends = append(g.out.Sends, Send{To: entry, Frame: f})
 	}
 	out := g.out
--- a/internal/guard/link.go
+++ b/internal/guard/link.go
@@ -26,11 +26,11 @@
 	if _, ok := g.entries[entry]; !ok {
 		g.entryOrder = append(g.entryOrder, entry)
 	}
-	l := &connection{}
-	g.entries[entry] = l
+	c := &connection{}
+	g.entries[entry] = c
 	for p, epoch := range g.epochs {
 		if epoch > 0 {
-			l.raised.add(identifier.Partition(p))
+			c.raised.add(identifier.Partition(p))
 		}
 	}
 	g.dropWaiting(entry)
@@ -67,11 +67,11 @@
 
 // frameTo returns the frame that collects what is sent to a connected entry.
 func (g *Guard) frameTo(entry messenger.Peer) *messenger.Frame {
-	l := g.entries[entry]
-	if l.frame == nil {
-		l.frame = &messenger.Frame{}
+	c := g.entries[entry]
+	if c.frame == nil {
+		c.frame = &messenger.Frame{}
 	}
-	return l.frame
+	return c.frame
 }
 
 // sendResult sends or delays a result for the receiver of the submission's
--- a/internal/guard/will.go
+++ b/internal/guard/will.go
@@ -25,9 +25,9 @@
 
 // entryDown makes the transfer restart if the entry that relays the pieces has
 // disconnected.
-func (w *recordTransfer) entryDown(entry messenger.Peer) {
-	if w.entry == entry {
-		w.entry = ""
+func (t *recordTransfer) entryDown(entry messenger.Peer) {
+	if t.entry == entry {
+		t.entry = ""
 	}
 }
 
--- a/internal/guard/will_test.go
+++ b/internal/guard/will_test.go
@@ -44,11 +44,11 @@
 	const records = 100_000
 	from, successor := loadedGuard(records), loadedGuard(0)
 	pieces, size := transferAll(t, from, successor)
-	count, held := successor.Records()
+	count, accounted := successor.Records()
 	if count != records {
 		t.Fatalf("the successor has %d records, want %d", count, records)
 	}
-	t.Logf("%d pieces; %d bytes a record in messages, %d at the successor", pieces, size/records, held/records)
+	t.Logf("%d pieces; %d bytes a record in messages, %d at the successor", pieces, size/records, accounted/records)
 	if size/pieces > 2*maxPieceBytes {
 		t.Errorf("a piece has %d bytes, the bound is %d", size/pieces, maxPieceBytes)
 	}
