--- a/internal/guard/hold.go
+++ b/internal/guard/hold.go
@@ -50,6 +50,6 @@
 	if c.ping == c.echoed {
 		return false
 	}
-	_, waits := g.echoDelay(now, c)
-	return !waits
+	_, delayed := g.echoDelay(now, c)
+	return !delayed
 }
--- a/internal/guard/will.go
+++ b/internal/guard/will.go
@@ -39,7 +39,8 @@
 		return
 	}
 	if !g.admitted && !g.transfer.started {
-		g.transfer.finished = true // An agent that was never admitted has no records.
+		// Nothing has started here, or the agent was expelled.
+		g.transfer.finished = true
 		return
 	}
 	g.transfer.started = true
