--- a/internal/agent/link.go
+++ b/internal/agent/connection.go
@@ -10,35 +10,35 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// target is an entry's address that the agent dials.
+// target is the address of an entry that the agent dials.
 type target struct {
-	busy     bool      // busy means that the entry is connected or dialled.
-	fixed    bool      // fixed means that the address comes from the settings.
-	failures int       // failures counts the dials that failed since the last connection.
-	next     time.Time // next is when the address may be dialled again.
+	busy     bool      // busy is set while the entry is connected or being dialled.
+	fixed    bool      // fixed is set for an address from the settings.
+	failures int       // failures counts the failed dials since the last connection.
+	nextDial time.Time // nextDial is when the address may be dialled again.
 }
 
 const (
-	minRedial = 250 * time.Millisecond
-	maxRedial = time.Second
+	minRedialDelay = 250 * time.Millisecond
+	maxRedialDelay = time.Second
 )
 
 // dialEntries dials the entries that are not connected. It runs on the control
-// thread; the dialling does not.
+// thread; each dial runs on its own goroutine.
 func (a *Agent) dialEntries(now time.Time) {
 	for addr, t := range a.targets {
-		if t.busy || now.Before(t.next) {
+		if t.busy || now.Before(t.nextDial) {
 			continue
 		}
 		t.busy = true
-		go a.link(addr)
+		go a.connect(addr)
 	}
 }
 
-// unlinked plans the next dial of an address after a connection or a dial ended.
-// The pause doubles with every failure and is jittered, so that the agents of a
-// region do not dial an entry that is back all at once.
-func (a *Agent) unlinked(now time.Time, addr netip.AddrPort, connected bool) {
+// scheduleRedial schedules the next dial of an address after a connection or a dial has
+// ended. The backoff doubles with every failure and is jittered, so that the agents of
+// a region do not all dial a restarted entry at once.
+func (a *Agent) scheduleRedial(now time.Time, addr netip.AddrPort, connected bool) {
 	t := a.targets[addr]
 	if t == nil {
 		return
@@ -47,13 +47,13 @@
 	if connected {
 		t.failures = 0
 	}
-	pause := min(minRedial<<min(t.failures, 8), maxRedial)
+	pause := min(minRedialDelay<<min(t.failures, 8), maxRedialDelay)
 	t.failures++
-	t.next = now.Add(pause/2 + rand.N(pause))
+	t.nextDial = now.Add(pause/2 + rand.N(pause))
 }
 
-// setRoutes replaces the entries that the agent dials by those that an entry has
-// named. Addresses of the settings stay, and so do connected ones.
+// setRoutes replaces the entries that the agent dials with the ones listed by an entry.
+// Addresses from the settings stay, and so do connected ones.
 func (a *Agent) setRoutes(entries []messenger.EntryAddr) {
 	named := make(map[netip.AddrPort]bool, len(entries))
 	for _, e := range entries {
@@ -69,11 +69,11 @@
 	}
 }
 
-// link connects to one entry and serves the connection until it ends.
-func (a *Agent) link(addr netip.AddrPort) {
+// connect connects to one entry and serves the connection until it ends.
+func (a *Agent) connect(addr netip.AddrPort) {
 	connected := false
 	defer func() {
-		a.loop.Post(func(now time.Time) { a.unlinked(now, addr, connected) })
+		a.loop.Post(func(now time.Time) { a.scheduleRedial(now, addr, connected) })
 	}()
 	conn, err := connector.Dial(a.background, a.entryURL(addr), connector.Options{
 		Hello:  a.hello,
@@ -103,7 +103,7 @@
 	err = conn.Run(func(f *messenger.Frame) {
 		a.loop.Post(func(now time.Time) { a.receive(now, entry, conn, f) })
 	})
-	a.loop.Post(func(now time.Time) { a.unlink(now, entry, conn, err) })
+	a.loop.Post(func(now time.Time) { a.disconnect(now, entry, conn, err) })
 }
 
 func (a *Agent) receive(now time.Time, entry messenger.Peer, conn *connector.Conn, f *messenger.Frame) {
@@ -118,12 +118,12 @@
 	}
 	if f.Expel != nil && !a.guard.Expelled() {
 		a.settings.Logger.Warn().Str("entry", string(entry)).Uint64("roster", f.Expel.RosterVersion).
-			Msg("an operator has declared this agent dead; it starts no task until it is restarted")
+			Msg("an operator has declared this agent dead; it starts no tasks until it is restarted")
 	}
 	a.guard.Receive(now, entry, f)
 }
 
-func (a *Agent) unlink(now time.Time, entry messenger.Peer, conn *connector.Conn, cause error) {
+func (a *Agent) disconnect(now time.Time, entry messenger.Peer, conn *connector.Conn, cause error) {
 	if a.conns[entry] != conn {
 		return
 	}
--- a/internal/guard/credit.go
+++ b/internal/guard/credit.go
@@ -8,35 +8,36 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// DefaultHoldFor is the setting of Limits.HoldFor that suits most deployments. It
-// is longer than most tasks run, so that a job's results leave an agent together.
+// DefaultMaxResultDelay is the value of Limits.MaxResultDelay that suits most
+// deployments. It is longer than most tasks run, so that the results of a job leave
+// an agent together.
 const DefaultMaxResultDelay = time.Second
 
-// resources is what the tasks at the agent take: credits of entries while they
-// wait or run, memory and accelerators while they run.
+// resources accounts for what the tasks at the agent use: credits of entries while
+// they wait or run, memory and accelerators while they run.
 type resources struct {
 	credits *creditor.Creditor
 	running map[TaskRef]charge
-	// open counts the tasks of each submission that wait or run.
-	open map[identifier.Submission]int
+	// unfinished counts the tasks of each submission that wait or run.
+	unfinished map[identifier.Submission]int
 	// memory and accelerators are the sums over running.
 	memory       int64
 	accelerators int
 }
 
-// charge is what one running task takes.
+// charge is what one running task uses.
 type charge struct {
-	from         messenger.Peer // from is empty once the entry is gone.
+	from         messenger.Peer // from is empty once the entry has disconnected.
 	memory       int64
 	accelerators int
 }
 
 func newResources(limits creditor.Limits) resources {
-	return resources{credits: creditor.New(limits), running: make(map[TaskRef]charge), open: make(map[identifier.Submission]int)}
+	return resources{credits: creditor.New(limits), running: make(map[TaskRef]charge), unfinished: make(map[identifier.Submission]int)}
 }
 
-// fits reports whether the upstream has the memory and accelerators for a task
-// now. A task that needs more than there is runs alone.
+// fits reports whether the upstream now has the memory and accelerators for a task.
+// A task that needs more than the whole upstream has runs alone.
 func (g *Guard) fits(p *pending) bool {
 	c := g.chargeOf(p)
 	return g.resources.memory+c.memory <= g.upstream.MemoryBytes &&
@@ -51,32 +52,32 @@
 	}
 }
 
-// take charges a task that starts.
-func (g *Guard) take(p *pending) {
+// chargeTask charges the memory and accelerators of a task that starts.
+func (g *Guard) chargeTask(p *pending) {
 	c := g.chargeOf(p)
 	g.resources.running[p.ref] = c
 	g.resources.memory += c.memory
 	g.resources.accelerators += c.accelerators
 }
 
-// giveBack frees what a task that has ended took.
-func (g *Guard) giveBack(ref TaskRef) {
+// releaseTask releases the charge and the credit of a task that has ended.
+func (g *Guard) releaseTask(ref TaskRef) {
 	c := g.resources.running[ref]
 	delete(g.resources.running, ref)
 	g.resources.memory -= c.memory
 	g.resources.accelerators -= c.accelerators
 	g.resources.credits.Ended(c.from)
-	g.close(ref.Submission)
+	g.countEnd(ref.Submission)
 }
 
-// abandon frees the credit of a start that waited and will not run.
-func (g *Guard) abandon(p *pending) {
+// releaseCredit releases the credit of a start that waited and will not run.
+func (g *Guard) releaseCredit(p *pending) {
 	g.resources.credits.Ended(p.from)
-	g.close(p.ref.Submission)
+	g.countEnd(p.ref.Submission)
 }
 
-// entryGone frees the credits of an entry, but for those of its running tasks.
-func (g *Guard) entryGone(entry messenger.Peer) {
+// releaseEntry releases the credits of an entry, except those of its running tasks.
+func (g *Guard) releaseEntry(entry messenger.Peer) {
 	for ref, c := range g.resources.running {
 		if c.from == entry {
 			c.from = ""
@@ -86,7 +87,7 @@
 	g.resources.credits.EntryDown(entry)
 }
 
-// addCredits lets changed limits ride on the frames that go out.
+// addCredits adds changed credit limits to the frames that are about to be sent.
 func (g *Guard) addCredits() {
 	slots := 0
 	if g.state == messenger.UpstreamServing {
@@ -94,102 +95,104 @@
 	}
 	g.resources.credits.SetSlots(slots)
 	for _, grant := range g.resources.credits.PendingGrants() {
-		if l := g.entries[grant.Entry]; l != nil && l.frame != nil {
-			l.frame.Credit = &messenger.Credit{Limit: grant.Limit}
+		if c := g.entries[grant.Entry]; c != nil && c.frame != nil {
+			c.frame.Credit = &messenger.Credit{Limit: grant.Limit}
 			g.resources.credits.GrantSent(grant)
 		}
 	}
 }
 
-// accept lets a start wait for a slot. What waits is ordered by the work that is
-// left of its job and by its age.
-func (g *Guard) accept(now time.Time, p pending) {
+// enqueue adds a start to the queue for a slot. The queue is ordered by the
+// remaining work of the job and by age.
+func (g *Guard) enqueue(now time.Time, p pending) {
 	g.resources.credits.Started(p.from)
-	g.resources.open[p.ref.Submission]++
+	g.resources.unfinished[p.ref.Submission]++
 	p.rank = p.start.RemainingWork + time.Duration(ageing*float64(g.Clock(now)))
 	g.waiting.insert(p)
 }
 
-// ageing is how much one second of waiting counts against one second of work.
+// ageing is the weight of one second of waiting relative to one second of work.
 const ageing = 0.25
 
-// close counts the end of a task that was accepted.
-func (g *Guard) close(s identifier.Submission) {
-	g.resources.open[s]--
-	if g.resources.open[s] <= 0 {
-		delete(g.resources.open, s)
+// countEnd counts the end of a task that was queued.
+func (g *Guard) countEnd(s identifier.Submission) {
+	g.resources.unfinished[s]--
+	if g.resources.unfinished[s] <= 0 {
+		delete(g.resources.unfinished, s)
 	}
 }
 
-// hold keeps a result back while others of its job are to come from here and
-// reports whether it does. A failure is never held: it ends the job.
-func (g *Guard) hold(now time.Time, to messenger.Peer, s identifier.Submission, r messenger.TaskResult) bool {
-	if r.Kind != messenger.ResultDone || g.resources.open[s] == 0 || g.limits.MaxResultDelay <= 0 {
+// delayResult delays a result while other tasks of its job are unfinished at this
+// agent, and reports whether it did. A failure is never delayed: it ends the job.
+func (g *Guard) delayResult(now time.Time, to messenger.Peer, s identifier.Submission, r messenger.TaskResult) bool {
+	if r.Kind != messenger.ResultDone || g.resources.unfinished[s] == 0 || g.limits.MaxResultDelay <= 0 {
 		return false
 	}
-	l := g.entries[to]
-	if len(l.held) == 0 {
-		l.heldSince = now
+	c := g.entries[to]
+	if len(c.delayed) == 0 {
+		c.delayedSince = now
 	}
-	l.held = append(l.held, heldResult{submission: s, result: r})
+	c.delayed = append(c.delayed, delayedResult{submission: s, result: r})
 	return true
 }
 
-// release adds held results to the frames that go out, and to one of their own
-// once they have been held for long enough or their job has no other task here.
-func (g *Guard) release(now time.Time) {
-	for _, entry := range g.order {
-		l := g.entries[entry]
-		if len(l.held) == 0 {
+// sendDelayed adds delayed results to the frames that are about to be sent. If no
+// frame is due for the entry, they wait until [Guard.delayedDue]. The last result of a
+// job at this agent is never delayed, so the others are sent with it.
+func (g *Guard) sendDelayed(now time.Time) {
+	for _, entry := range g.entryOrder {
+		c := g.entries[entry]
+		if len(c.delayed) == 0 {
 			continue
 		}
-		if l.frame == nil && !g.wanted(now, l) {
-			g.out.wakeBy(l.heldSince.Add(g.limits.MaxResultDelay))
+		if c.frame == nil && !g.delayedDue(now, c) {
+			g.out.wakeBy(c.delayedSince.Add(g.limits.MaxResultDelay))
 			continue
 		}
-		held := l.held
-		l.held = nil
-		for _, h := range held {
-			g.addResult(entry, h.submission, h.result)
+		delayed := c.delayed
+		c.delayed = nil
+		for _, d := range delayed {
+			g.addResult(entry, d.submission, d.result)
 		}
 	}
 }
 
-// wanted reports whether held results should go now: they are old, an echo goes
-// now anyway, or the entry waits for credit and the agent runs out of work.
-func (g *Guard) wanted(now time.Time, l *link) bool {
-	if now.Sub(l.heldSince) >= g.limits.MaxResultDelay || g.mustEcho(now, l) {
+// delayedDue reports whether delayed results should be sent now: they have waited
+// for MaxResultDelay, an echo is due anyway, or the entry waits for credit and the
+// agent is running out of work.
+func (g *Guard) delayedDue(now time.Time, c *connection) bool {
+	if now.Sub(c.delayedSince) >= g.limits.MaxResultDelay || g.echoDue(now, c) {
 		return true
 	}
-	if l.backlog == 0 {
+	if c.backlog == 0 {
 		return false
 	}
 	idle := g.waiting.len() == 0 && g.running < g.upstream.Slots
-	return idle || len(l.held) >= heldBatch && g.waiting.len() < g.upstream.Slots/lowWater
+	return idle || len(c.delayed) >= delayedBatch && g.waiting.len() < g.upstream.Slots/lowWaterDivisor
 }
 
 const (
-	// lowWater is the part of the slots for which starts must wait, so that an
-	// entry with a backlog need not hear of results.
-	lowWater = 2
-	// heldBatch is how many results an entry with a backlog is sent together while
+	// lowWaterDivisor sets the low-water mark of the queue, as a divisor of the slots:
+	// with fewer starts waiting, an entry with a backlog is sent results early.
+	lowWaterDivisor = 2
+	// delayedBatch is how many results an entry with a backlog is sent together while
 	// no slot is idle.
-	heldBatch = 8
+	delayedBatch = 8
 )
 
-// receiveBacklog applies what a frame says about the sender's backlog. Starts
-// without such a word mean that there is none.
-func (g *Guard) receiveBacklog(l *link, f *messenger.Frame) {
+// receiveBacklog applies the sender's backlog as reported in a frame. A frame with
+// starts but no report means that there is no backlog.
+func (g *Guard) receiveBacklog(c *connection, f *messenger.Frame) {
 	switch {
 	case f.Credit != nil:
-		l.backlog = f.Credit.Backlog
+		c.backlog = f.Credit.Backlog
 	case len(f.Starts) > 0:
-		l.backlog = 0
+		c.backlog = 0
 	}
 }
 
-// heldResult is a result that waits for others of its job.
-type heldResult struct {
+// delayedResult is a result that waits for others of its job.
+type delayedResult struct {
 	submission identifier.Submission
 	result     messenger.TaskResult
 }
--- a/internal/guard/epochs.go
+++ b/internal/guard/epochs.go
@@ -7,28 +7,28 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// admit applies that the agent is part of the roster. Holders stay as they are:
-// an admission says nothing about who the owners are.
+// admit applies the agent's admission to the roster. The receivers of results stay
+// as they are: an admission does not tell who the owners are.
 func (g *Guard) admit(now time.Time, a *messenger.Admit) {
-	g.admitted = !g.expelled && !g.will.made
+	g.admitted = !g.expelled && !g.transfer.started
 	for p, epoch := range a.Epochs[:min(len(a.Epochs), identifier.Partitions)] {
 		g.raise(identifier.Partition(p), epoch)
 	}
 	g.refuseWaiting(now)
 }
 
-// expel applies that an operator declared the agent dead: others may have begun to
-// start what it would start.
+// expel applies an operator's declaration that the agent is dead. Its tasks may by
+// now have been started on other agents, so it starts nothing more.
 func (g *Guard) expel(now time.Time) {
 	g.expelled = true
 	g.admitted = false
 	g.refuseWaiting(now)
 }
 
-// fence raises epochs and answers with the records of the partitions. A fence of
-// a lower epoch than is known gets the higher epoch and no records. Starts of the
-// partitions that wait are refused first: they are in no record, and who gets the
-// records takes what is in none for not started.
+// fence raises epochs and answers with the records of the partitions. A fence with
+// an epoch below the highest seen gets that epoch and no records. Waiting starts of
+// the partitions are refused first: they are in no record, and the receiver of the
+// records assumes that a task in no record has not started.
 func (g *Guard) fence(now time.Time, from messenger.Peer, f *messenger.Fence) {
 	g.refuseFenced(f)
 	frame := g.frameTo(from)
@@ -39,10 +39,10 @@
 		answer := messenger.Fenced{Partition: p.Partition}
 		if !g.Rules.StaleEpoch(p.Epoch, g.epochs[p.Partition]) {
 			g.raise(p.Partition, p.Epoch)
-			g.holders[p.Partition] = from
+			g.resultReceivers[p.Partition] = from
 			if g.Rules.ReportRecords() {
-				answer.Records = append(g.records.of(p.Partition, f.UnsettledOnly),
-					g.adopted.of(p.Partition, f.UnsettledOnly)...)
+				answer.Records = append(g.records.messages(p.Partition, f.UnsettledOnly),
+					g.transferred.messages(p.Partition, f.UnsettledOnly)...)
 			}
 		}
 		answer.Epoch = g.epochs[p.Partition]
@@ -51,29 +51,31 @@
 	g.refuseWaiting(now)
 }
 
-// raise raises the epoch of a partition and notes it for every connection.
+// raise raises the epoch of a partition and marks it to be reported on every
+// connection.
 func (g *Guard) raise(p identifier.Partition, epoch uint64) {
 	if epoch <= g.epochs[p] {
 		return
 	}
 	g.epochs[p] = epoch
-	for _, entry := range g.order {
+	for _, entry := range g.entryOrder {
 		g.entries[entry].raised.add(p)
 	}
 }
 
-// takeRaised returns what the connection has not been told and clears it.
-func (g *Guard) takeRaised(l *link) []messenger.PartitionEpoch {
-	if l.raised.empty() {
+// takeRaised returns the raised epochs not yet reported on a connection and clears
+// them.
+func (g *Guard) takeRaised(c *connection) []messenger.PartitionEpoch {
+	if c.raised.empty() {
 		return nil
 	}
 	var out []messenger.PartitionEpoch
 	for p, epoch := range g.epochs {
-		if l.raised.has(identifier.Partition(p)) {
+		if c.raised.has(identifier.Partition(p)) {
 			out = append(out, messenger.PartitionEpoch{Partition: identifier.Partition(p), Epoch: epoch})
 		}
 	}
-	l.raised = partitionSet{}
+	c.raised = partitionSet{}
 	return out
 }
 
@@ -84,7 +86,7 @@
 	return out
 }
 
-// refuseFenced refuses the waiting starts of the partitions that a fence takes.
+// refuseFenced refuses the waiting starts of the partitions that a fence takes over.
 func (g *Guard) refuseFenced(f *messenger.Fence) {
 	if g.waiting.len() == 0 {
 		return
@@ -105,7 +107,7 @@
 			refusal = messenger.RefusalStaleEpoch
 		}
 		g.refuse(p, refusal)
-		g.abandon(p)
+		g.releaseCredit(p)
 		return false
 	})
 }
--- a/internal/guard/hold.go
+++ b/internal/guard/hold.go
@@ -6,50 +6,50 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// waits reports whether the echo that is owed to an entry may wait for more to go
-// with it, and until when. An echo of a message that brought starts rides on their
-// results; a message without starts asks for nothing but the echo and gets it at
-// once. The wait is bounded, since leases rest on echoes.
-func (g *Guard) waits(now time.Time, l *link) (until time.Time, ok bool) {
-	if l.prompt || l.frame != nil {
+// echoDelay reports whether a pending echo to an entry may wait to be sent with
+// other content, and until when. The echo of a message with starts is sent with
+// their results; a message without starts only asks for the echo and gets it at
+// once. The delay is bounded, because leases depend on echoes.
+func (g *Guard) echoDelay(now time.Time, c *connection) (until time.Time, ok bool) {
+	if c.echoAtOnce || c.frame != nil {
 		return now, false
 	}
-	until = l.owed.Add(g.limits.MaxEchoDelay)
+	until = c.echoDueSince.Add(g.limits.MaxEchoDelay)
 	return until, now.Before(until)
 }
 
-// contact notes a ping and whether its echo may wait.
-func (l *link) contact(now time.Time, f *messenger.Frame) {
-	if f.Contact == nil || f.Contact.Ping <= l.ping {
+// recordPing records a ping and whether its echo may be delayed.
+func (c *connection) recordPing(now time.Time, f *messenger.Frame) {
+	if f.Contact == nil || f.Contact.Ping <= c.ping {
 		return
 	}
-	l.ping = f.Contact.Ping
+	c.ping = f.Contact.Ping
 	if len(f.Starts) == 0 {
-		l.prompt = true
+		c.echoAtOnce = true
 	}
-	l.owe(now)
+	c.markEchoDue(now)
 }
 
-// owe notes since when an echo is owed to the entry.
-func (l *link) owe(now time.Time) {
-	if l.owed.IsZero() {
-		l.owed = now
+// markEchoDue records the time since which an echo is pending, unless one is already.
+func (c *connection) markEchoDue(now time.Time) {
+	if c.echoDueSince.IsZero() {
+		c.echoDueSince = now
 	}
 }
 
-// paid clears what was owed when a frame goes out.
-func (l *link) paid() {
-	l.echoed = l.ping
-	l.frame = nil
-	l.prompt = false
-	l.owed = time.Time{}
+// clearSent clears the pending frame and echo when the frame is sent.
+func (c *connection) clearSent() {
+	c.echoed = c.ping
+	c.frame = nil
+	c.echoAtOnce = false
+	c.echoDueSince = time.Time{}
 }
 
-// mustEcho reports whether an echo goes to the entry now in any case.
-func (g *Guard) mustEcho(now time.Time, l *link) bool {
-	if l.ping == l.echoed {
+// echoDue reports whether an echo must be sent to the entry now.
+func (g *Guard) echoDue(now time.Time, c *connection) bool {
+	if c.ping == c.echoed {
 		return false
 	}
-	_, waits := g.waits(now, l)
-	return !waits
+	_, delayed := g.echoDelay(now, c)
+	return !delayed
 }
--- a/internal/guard/start.go
+++ b/internal/guard/start.go
@@ -24,19 +24,19 @@
 			continue
 		}
 		g.raise(s.Submission.Partition(), s.Epoch)
-		g.holders[s.Submission.Partition()] = from
-		g.accept(now, p)
+		g.resultReceivers[s.Submission.Partition()] = from
+		g.enqueue(now, p)
 	}
 }
 
-// startWaiting starts waiting tasks while slots are free. Each is checked again:
-// what held when it arrived may no longer hold.
+// startWaiting starts waiting tasks while slots are free. Each is checked again,
+// because conditions may have changed since it arrived.
 func (g *Guard) startWaiting(now time.Time) {
 	for g.waiting.len() > 0 {
 		p := g.waiting.first()
 		if refusal := g.check(now, p); refusal != "" {
 			g.refuse(p, refusal)
-			g.abandon(p)
+			g.releaseCredit(p)
 			g.waiting.pop()
 			continue
 		}
@@ -48,13 +48,13 @@
 	}
 }
 
-// run records the start of a task and asks for the call.
+// run records the start of a task and requests the call to the upstream.
 func (g *Guard) run(now time.Time, p *pending) {
 	r := g.records.add(g.Clock(now), g.limits.Window, p.ref.Submission)
-	g.records.describe(r, p.start)
+	g.records.setRequest(r, p.start)
 	r.start(g.Clock(now), p.ref.Index)
 	g.running++
-	g.take(p)
+	g.chargeTask(p)
 	g.out.Invocations = append(g.out.Invocations, Invocation{
 		Ref:     p.ref,
 		Path:    p.start.Path,
@@ -71,15 +71,16 @@
 	})
 }
 
-// cancel stops the running tasks of a submission and bars the others. The record
-// is kept even beyond the memory limit: it bars starts that are under way.
+// cancel aborts the running tasks of a submission and prevents further starts. The
+// record is created even beyond the memory limit, because it must stop starts that
+// are still in flight.
 func (g *Guard) cancel(now time.Time, from messenger.Peer, c *messenger.Cancel) {
 	if g.Rules.StaleEpoch(c.Epoch, g.epochs[c.Submission.Partition()]) {
 		return
 	}
 	r := g.records.add(g.Clock(now), g.limits.Window, c.Submission)
 	r.cancelled = true
-	r.used = g.Clock(now)
+	r.lastUsed = g.Clock(now)
 	for _, index := range r.running {
 		g.out.Aborts = append(g.out.Aborts, TaskRef{Submission: c.Submission, Index: index})
 	}
@@ -92,10 +93,10 @@
 
 func (g *Guard) settle(now time.Time, s *messenger.Settlement) {
 	r := g.records.get(s.Submission.Partition(), s.Submission)
-	if r == nil || r.known {
+	if r == nil || r.acked {
 		return
 	}
-	r.known = true
+	r.acked = true
 	g.records.retain(s.Submission, g.Clock(now)+g.limits.RetainFor, r.resultBytes())
-	g.records.release(g.Clock(now), g.limits.RetainBytes)
+	g.records.releaseRetained(g.Clock(now), g.limits.RetainBytes)
 }
--- a/internal/runner/task.go
+++ b/internal/runner/task.go
@@ -15,15 +15,16 @@
 	AnswerStarted          Answer = "started"
 	AnswerRefused          Answer = "refused"    // The upstream did not start the task.
 	AnswerStaleRun         Answer = "stale-run"  // The upstream has seen a higher run of the task.
-	AnswerOtherIncarnation Answer = "other-life" // The upstream is another one than was meant.
-	AnswerUnhealthy        Answer = "unhealthy"  // The upstream refuses work and has done nothing.
-	AnswerNone             Answer = "none"       // Whether the start took effect is open.
+	AnswerOtherIncarnation Answer = "other-life" // The start was meant for another incarnation.
+	AnswerUnhealthy        Answer = "unhealthy"  // The upstream refuses work; the task did not start.
+	AnswerNone             Answer = "none"       // Whether the task started is not known.
 )
 
-// Started takes the answer to a start. If the start was sent before without an answer,
-// a refusal says nothing about that one: it may have run, or may still be carried out.
-func (r *Runner) Started(now time.Duration, c StartCall, a Answer, again bool) {
-	if again && a != AnswerStarted && a != AnswerOtherIncarnation {
+// Started applies the answer to a start. If retried is set, the start was sent before
+// and not answered; a refusal then says nothing about the first attempt, which may have
+// run or may still be executed.
+func (r *Runner) Started(now time.Duration, c StartCall, a Answer, retried bool) {
+	if retried && a != AnswerStarted && a != AnswerOtherIncarnation {
 		a = AnswerNone
 	}
 	t := r.tasks[c.Task]
@@ -42,19 +43,19 @@
 	case AnswerStaleRun:
 		r.end(now, t, messenger.EndStaleRun)
 	case AnswerRefused, AnswerOtherIncarnation, AnswerUnhealthy:
-		r.decide(Decision{Event: "start-refused", Task: t.Task, Run: t.Run, Reason: string(a)})
+		r.logDecision(Decision{Event: "start-refused", Task: t.Task, Run: t.Run, Reason: string(a)})
 		if a == AnswerUnhealthy {
 			r.health.stalled(now)
-			r.dirty()
+			r.requestReports()
 		}
 		r.end(now, t, messenger.EndRefused)
 	}
 }
 
-// Stopped takes the answer to a stop: whether the upstream has acknowledged it.
+// Stopped applies the result of a stop: whether the upstream has acknowledged it.
 func (r *Runner) Stopped(now time.Duration, c StopCall, acknowledged bool) {
-	if run, ok := r.strays[c.Task]; ok && run == c.Run {
-		// The next list of runs tells whether it is gone.
+	if run, ok := r.orphans[c.Task]; ok && run == c.Run {
+		// The next listing shows whether the run has ended.
 		return
 	}
 	t := r.tasks[c.Task]
@@ -63,106 +64,106 @@
 	}
 	if acknowledged {
 		t.state = stateStopped
-		t.stopAt = now
+		t.stoppedAt = now
 	}
 }
 
-// Run is one run in a list of the upstream.
+// Run is a current run in a listing.
 type Run struct {
 	Task    messenger.TaskRef
 	Run     uint64
 	Percent int // Percent is the progress, from 0 to 100.
 }
 
-// RunEnd is the end of a run in a list of the upstream.
+// RunEnd is the end of a run in a listing.
 type RunEnd struct {
-	Number int64 // Number counts the ends of a life from 1.
+	Number int64 // Number counts the ends of an incarnation from 1.
 	Task   messenger.TaskRef
 	Run    uint64
 	Kind   messenger.EndKind
 }
 
-// Listing is the upstream's answer to the question what it runs.
+// Listing is the upstream's answer to a poll: its current and ended runs.
 type Listing struct {
 	Incarnation Incarnation
 	Running     []Run
 	Ended       []RunEnd
-	// AskedAt is when the question was sent.
+	// RequestedAt is when the poll was sent.
 	RequestedAt time.Duration
-	// Renewed is the time to which the lease was asked to be extended, or 0.
+	// LeaseUntil is the time to which the poll asked to extend the lease, or 0.
 	LeaseUntil time.Duration
 }
 
-// freshFor is the time since the list before within which ends tell how long the
-// tasks ran. Lists come every 60 ms.
-const freshFor = 100 * time.Millisecond
+// recentListingAge is the longest time since the previous listing at which an end is
+// recent enough to derive the run time of a task. Listings come every 60 ms.
+const recentListingAge = 100 * time.Millisecond
 
-// Listed takes a list of the upstream.
+// Listed applies a listing.
 func (r *Runner) Listed(now time.Duration, l Listing) {
-	if !l.Incarnation.same(r.life) {
-		if l.Incarnation.Number < r.life.Number {
+	if !l.Incarnation.matches(r.incarnation) {
+		if l.Incarnation.Number < r.incarnation.Number {
 			return
 		}
-		r.begin(now, l.Incarnation)
+		r.startIncarnation(now, l.Incarnation)
 	}
-	r.misses = 0
+	r.failedPolls = 0
 	if r.silent || !r.answered {
-		r.decide(Decision{Event: "upstream-answers"})
+		r.logDecision(Decision{Event: "upstream-answers"})
 		r.silent, r.answered = false, true
-		if r.falls > 1 {
-			r.health.distrust(now, r.falls-1)
-			r.decide(Decision{Event: "upstream-distrusted", Reason: "flapping"})
+		if r.outages > 1 {
+			r.health.penalise(now, r.outages-1)
+			r.logDecision(Decision{Event: "upstream-distrusted", Reason: "flapping"})
 		}
-		r.dirty()
+		r.requestReports()
 	}
-	r.fresh = now-r.listedAt < freshFor
+	r.recentListing = now-r.listedAt < recentListingAge
 	r.listedAt = now
 	for _, e := range l.Ended {
-		if e.Number <= r.seen {
+		if e.Number <= r.lastEnd {
 			continue
 		}
-		r.seen = e.Number
-		r.ended(now, e)
+		r.lastEnd = e.Number
+		r.applyEnd(now, e)
 	}
 	listed := make(map[messenger.TaskRef]uint64, len(l.Running))
-	pace := paceSample{}
+	sample := slowdownSample{}
 	for _, run := range l.Running {
 		listed[run.Task] = run.Run
-		r.progress(now, run)
+		r.applyProgress(now, run)
 		if t := r.tasks[run.Task]; t != nil && t.Run == run.Run && t.state == stateRunning {
-			pace.add(now-t.since, run.Percent, t.ExpectedRunTime)
+			sample.add(now-t.startedAt, run.Percent, t.ExpectedRunTime)
 		}
 	}
-	if r.health.sample(now, pace) {
-		r.dirty()
+	if r.health.observeProgress(now, sample) {
+		r.requestReports()
 	}
-	r.forgetStrays(listed)
-	for _, t := range r.sorted() {
-		// What was stopped and is not in a list that was asked for afterwards is gone.
-		if t.state == stateStopped && listed[t.Task] != t.Run && t.stopAt < l.RequestedAt {
+	r.removeOrphans(listed)
+	for _, t := range r.sortedTasks() {
+		// A stopped run that is missing from a listing requested afterwards has ended.
+		if t.state == stateStopped && listed[t.Task] != t.Run && t.stoppedAt < l.RequestedAt {
 			r.end(now, t, t.kind)
 		}
 	}
 }
 
-func (r *Runner) forgetStrays(listed map[messenger.TaskRef]uint64) {
-	if len(r.strays) == 0 {
+func (r *Runner) removeOrphans(listed map[messenger.TaskRef]uint64) {
+	if len(r.orphans) == 0 {
 		return
 	}
-	for ref, run := range r.strays {
+	for ref, run := range r.orphans {
 		if listed[ref] != run {
-			delete(r.strays, ref)
+			delete(r.orphans, ref)
 		}
 	}
-	if len(r.strays) == 0 {
-		r.decide(Decision{Event: "strays-gone"})
-		r.dirty()
+	if len(r.orphans) == 0 {
+		r.logDecision(Decision{Event: "strays-gone"})
+		r.requestReports()
 	}
 }
 
-func (r *Runner) ended(now time.Duration, e RunEnd) {
-	if r.strays[e.Task] == e.Run {
-		delete(r.strays, e.Task)
+func (r *Runner) applyEnd(now time.Duration, e RunEnd) {
+	if r.orphans[e.Task] == e.Run {
+		delete(r.orphans, e.Task)
 	}
 	t := r.tasks[e.Task]
 	if t == nil || t.Run != e.Run || t.state == stateWaiting {
@@ -172,11 +173,11 @@
 	switch {
 	case kind == messenger.EndDone:
 		r.health.done(now)
-		if r.fresh {
-			r.health.learn(now, now-t.since, t.ExpectedRunTime)
+		if r.recentListing {
+			r.health.observeRunTime(now, now-t.startedAt, t.ExpectedRunTime)
 		}
 	case kind == messenger.EndFailed:
-		if t.Failures == 0 && r.blames(t.Task.Job) && r.health.failed(now) {
+		if t.Failures == 0 && r.countsFailure(t.Task.Job) && r.health.failed(now) {
 			r.suspect("failures")
 		}
 	case t.kind != "":
@@ -185,55 +186,57 @@
 	r.end(now, t, kind)
 }
 
-// blames reports whether a failure of a job's task speaks against the upstream: a job
-// that can never be done fails everywhere, and counts once.
-func (r *Runner) blames(job string) bool {
-	if slices.Contains(r.blamed[:], job) {
+// countsFailure reports whether a failure of a job's task counts against the upstream.
+// A job that can never succeed fails on every upstream, so a job counts only once while
+// it is among the most recently counted ones.
+func (r *Runner) countsFailure(job string) bool {
+	if slices.Contains(r.countedJobs[:], job) {
 		return false
 	}
-	r.blamed[r.blameNext%len(r.blamed)] = job
-	r.blameNext++
+	r.countedJobs[r.nextCounted%len(r.countedJobs)] = job
+	r.nextCounted++
 	return true
 }
 
 func (r *Runner) suspect(reason string) {
-	r.decide(Decision{Event: "upstream-suspect", Reason: reason})
-	r.dirty()
+	r.logDecision(Decision{Event: "upstream-suspect", Reason: reason})
+	r.requestReports()
 }
 
-// progress notes how far a run is and stops it if it stands still.
-func (r *Runner) progress(now time.Duration, run Run) {
+// applyProgress records the progress of a run and stops it if it has stalled. A run
+// that no session owns becomes an orphan.
+func (r *Runner) applyProgress(now time.Duration, run Run) {
 	t := r.tasks[run.Task]
 	if t == nil || t.Run != run.Run || t.state == stateWaiting {
-		if r.strays[run.Task] == 0 {
-			r.decide(Decision{Event: "stray-run", Task: run.Task, Run: run.Run})
-			r.dirty()
+		if r.orphans[run.Task] == 0 {
+			r.logDecision(Decision{Event: "stray-run", Task: run.Task, Run: run.Run})
+			r.requestReports()
 		}
-		r.strays[run.Task] = max(r.strays[run.Task], run.Run)
+		r.orphans[run.Task] = max(r.orphans[run.Task], run.Run)
 		return
 	}
 	if t.state == stateStarting {
 		t.state = stateRunning
 	}
-	if t.progress == 0 || run.Percent != t.percent {
-		t.percent, t.progress = run.Percent, now
+	if t.progressAt == 0 || run.Percent != t.percent {
+		t.percent, t.progressAt = run.Percent, now
 		return
 	}
-	allowed := max(r.limits.StallTimeout, t.ExpectedRunTime/stallShare)
-	if t.state != stateRunning || now-t.progress < allowed {
+	allowed := max(r.limits.StallTimeout, t.ExpectedRunTime/stallDivisor)
+	if t.state != stateRunning || now-t.progressAt < allowed {
 		return
 	}
 	r.health.stalled(now)
 	r.suspect("stalled")
-	r.decide(Decision{Event: "task-stalled", Task: t.Task, Run: t.Run, Age: now - t.progress})
+	r.logDecision(Decision{Event: "task-stalled", Task: t.Task, Run: t.Run, Age: now - t.progressAt})
 	r.stop(now, t, messenger.EndStalled, "stalled")
 }
 
-// stallShare is the share of a task's expected time that it may stand still, as a
-// divisor: progress is told in hundredths.
-const stallShare = 8
+// stallDivisor gives the share of its expected run time that a task may go without
+// progress, as a divisor: progress is reported in whole percent.
+const stallDivisor = 8
 
-// stop ends a task: one that waits at once, another by a stop.
+// stop ends a waiting task at once, and sends a stop for any other.
 func (r *Runner) stop(now time.Duration, t *task, kind messenger.EndKind, reason string) {
 	switch t.state {
 	case stateWaiting:
@@ -242,23 +245,23 @@
 	case stateStopping, stateStopped:
 		return
 	}
-	r.decide(Decision{Event: "task-stopped", Task: t.Task, Run: t.Run, Reason: reason})
+	r.logDecision(Decision{Event: "task-stopped", Task: t.Task, Run: t.Run, Reason: reason})
 	t.kind = kind
 	t.state = stateStopping
-	t.stopAt = now
+	t.stoppedAt = now
 	r.sendStop(now, t)
 }
 
 func (r *Runner) sendStop(now time.Duration, t *task) {
 	t.retryAt = now + r.limits.StopRetryInterval
-	r.out.Stops = append(r.out.Stops, StopCall{Incarnation: r.life, Task: t.Task, Run: t.Run})
+	r.out.Stops = append(r.out.Stops, StopCall{Incarnation: r.incarnation, Task: t.Task, Run: t.Run})
 }
 
-// end forgets a task and tells its entry.
+// end deletes a task and reports its end to the entry.
 func (r *Runner) end(now time.Duration, t *task, kind messenger.EndKind) {
 	delete(r.tasks, t.Task)
 	t.session.tasks--
-	t.session.emptyAt = now
+	t.session.idleSince = now
 	e := messenger.End{Task: t.Task, Run: t.Run, Kind: kind, Started: t.state != stateWaiting}
 	if t.state == stateWaiting {
 		if i := slices.Index(r.waiting, t); i >= 0 {
@@ -266,10 +269,10 @@
 		}
 	} else {
 		r.used = r.used.Sub(t.Resources)
-		e.RunTime = now - t.since
+		e.RunTime = now - t.startedAt
 	}
 	if !t.session.closed {
 		t.session.ends = append(t.session.ends, e)
 	}
-	r.moved()
+	r.markLoadChanged()
 }
