--- a/internal/coordinator/abandon.go
+++ b/internal/coordinator/abandon.go
@@ -18,8 +18,8 @@
 		return
 	}
 	delete(c.requests.forwards, ticket)
-	if e := c.entries[f.to]; e != nil {
-		frame := e.gather()
+	if e := c.entries[f.sentTo]; e != nil {
+		frame := e.pendingFrame()
 		frame.Forwards = append(frame.Forwards, messenger.Forward{
 			Ticket:     ticket,
 			Submission: f.request.Job.Submission,
@@ -56,7 +56,7 @@
 // awaited reports whether a request for a recovered job may still come or is held.
 // Once a partition is active, the requests that wait elsewhere need a moment to
 // arrive: they get the grace time of an abandoned job.
-func (c *Coordinator) awaited(now time.Time, s identifier.Submission) bool {
+func (c *Coordinator) mayStillBeRequested(now time.Time, s identifier.Submission) bool {
 	p := s.Partition()
 	if !c.Owns(p) || !c.leaser.Held(now) || now.Sub(c.recoverer.ActiveSince(p)) < c.limits.Owner.AbandonGrace {
 		return true
--- a/internal/coordinator/agents.go
+++ b/internal/coordinator/agents.go
@@ -14,19 +14,19 @@
 
 // agentLink is what the coordinator keeps for a connected agent.
 type agentLink struct {
-	peer     messenger.Peer
-	member   registrar.Member
-	frame    *messenger.Frame // frame gathers what goes out at the next Take.
-	gathered *gathered        // gathered lists the links that have a frame.
-	settled  []messenger.Settlement
-	admitted bool                // admitted means that the agent was told that it is in the roster.
-	expelled bool                // expelled means that the agent was told that it was declared dead.
-	capacity *messenger.Capacity // capacity is the latest one; nil until the agent sent one.
-	credit   *messenger.Credit   // credit is the latest one; nil until the agent sent one.
-	ping     uint64
-	pings    []sentPing    // pings are those without an echo, oldest first.
-	clock    time.Duration // clock is the agent's clock in its latest message.
-	clockAt  time.Time     // clockAt is when that message arrived.
+	peer             messenger.Peer
+	member           registrar.Member
+	pending          *messenger.Frame // frame gathers what goes out at the next Take.
+	unsent           *unsentFrames    // gathered lists the links that have a frame.
+	settlements      []messenger.Settlement
+	admitted         bool                // admitted means that the agent was told that it is in the roster.
+	expelled         bool                // expelled means that the agent was told that it was declared dead.
+	capacity         *messenger.Capacity // capacity is the latest one; nil until the agent sent one.
+	credit           *messenger.Credit   // credit is the latest one; nil until the agent sent one.
+	lastPing         uint64
+	outstandingPings []sentPing    // pings are those without an echo, oldest first.
+	agentClock       time.Duration // clock is the agent's clock in its latest message.
+	agentClockAt     time.Time     // clockAt is when that message arrived.
 }
 
 // sentPing is when a ping was sent.
@@ -36,22 +36,22 @@
 }
 
 // gather returns the frame that gathers what goes to the agent.
-func (a *agentLink) gather() *messenger.Frame {
-	if a.frame == nil {
-		a.frame = &messenger.Frame{}
-		a.gathered.links = append(a.gathered.links, a)
+func (a *agentLink) pendingFrame() *messenger.Frame {
+	if a.pending == nil {
+		a.pending = &messenger.Frame{}
+		a.unsent.links = append(a.unsent.links, a)
 	}
-	return a.frame
+	return a.pending
 }
 
 // gathered lists the agents that a frame waits for, so that a flush does not look
 // at every agent.
-type gathered struct {
+type unsentFrames struct {
 	links []*agentLink
 }
 
 // take returns the links in the order of their names and clears the list.
-func (g *gathered) take() []*agentLink {
+func (g *unsentFrames) takeSorted() []*agentLink {
 	out := g.links
 	g.links = nil
 	slices.SortFunc(out, func(a, b *agentLink) int { return strings.Compare(string(a.peer), string(b.peer)) })
@@ -59,16 +59,16 @@
 }
 
 // settle lets a settlement ride on the next frame, without causing one.
-func (a *agentLink) settle(s identifier.Submission) {
-	a.settled = append(a.settled, messenger.Settlement{Submission: s})
+func (a *agentLink) queueSettlement(s identifier.Submission) {
+	a.settlements = append(a.settlements, messenger.Settlement{Submission: s})
 }
 
 // echo returns when the echoed ping was sent; false if it is not known.
-func (a *agentLink) echo(number uint64) (time.Time, bool) {
-	for i := len(a.pings) - 1; i >= 0; i-- {
-		if a.pings[i].number == number {
-			at := a.pings[i].at
-			a.pings = slices.Delete(a.pings, 0, i+1)
+func (a *agentLink) takePing(number uint64) (time.Time, bool) {
+	for i := len(a.outstandingPings) - 1; i >= 0; i-- {
+		if a.outstandingPings[i].number == number {
+			at := a.outstandingPings[i].at
+			a.outstandingPings = slices.Delete(a.outstandingPings, 0, i+1)
 			return at, true
 		}
 	}
@@ -76,21 +76,21 @@
 }
 
 func (c *Coordinator) agentUp(now time.Time, h messenger.Hello) {
-	c.rosterPace.changed()
+	c.rosterCheck.trigger()
 	if h.Region != c.self.Region {
 		return
 	}
 	a := &agentLink{
-		peer:     h.Peer,
-		gathered: &c.gathered,
-		member:   registrar.Member{Peer: h.Peer, DataCentre: h.DataCentre, Rack: h.Rack},
+		peer:   h.Peer,
+		unsent: &c.unsent,
+		member: registrar.Member{Peer: h.Peer, DataCentre: h.DataCentre, Rack: h.Rack},
 	}
 	c.agents[h.Peer] = a
 	c.agentOrder = insertPeer(c.agentOrder, h.Peer)
-	delete(c.away, h.Peer)
+	delete(c.disconnectedSince, h.Peer)
 	for p, epoch := range h.Epochs {
 		if p < identifier.Partitions {
-			c.sawEpoch(now, identifier.Partition(p), epoch)
+			c.observeEpoch(now, identifier.Partition(p), epoch)
 		}
 	}
 	c.owner.AgentUp(h.Peer)
@@ -99,15 +99,15 @@
 	if roster := c.registrar.Roster(c.self.Region); slices.Contains(roster.DeclaredDead(), a.peer) {
 		c.expel(now, a)
 	}
-	a.gather().Routes = &messenger.Routes{Entries: c.regionEntries()}
+	a.pendingFrame().Routes = &messenger.Routes{Entries: c.regionEntries()}
 }
 
 func (c *Coordinator) agentDown(now time.Time, peer messenger.Peer) {
-	c.rosterPace.changed()
+	c.rosterCheck.trigger()
 	delete(c.agents, peer)
-	c.bequestsAgentDown(peer)
+	c.recordTransfersAgentDown(peer)
 	c.agentOrder = removePeer(c.agentOrder, peer)
-	c.away[peer] = now
+	c.disconnectedSince[peer] = now
 	c.leaser.Forget(peer)
 	c.owner.AgentDown(now, peer)
 	c.placer.AgentDown(now, peer)
@@ -124,7 +124,7 @@
 	for p := range epochs {
 		epochs[p] = c.registrar.Partition(identifier.Partition(p)).Epoch
 	}
-	a.gather().Admit = &messenger.Admit{RosterVersion: roster.Version, Epochs: epochs}
+	a.pendingFrame().Admit = &messenger.Admit{RosterVersion: roster.Version, Epochs: epochs}
 	c.placer.AgentUp(now, a.peer, placer.Location{
 		Region:     c.self.Region,
 		DataCentre: a.member.DataCentre,
@@ -145,7 +145,7 @@
 		return
 	}
 	a.expelled = true
-	a.gather().Expel = &messenger.Expel{RosterVersion: c.registrar.Roster(c.self.Region).Version}
+	a.pendingFrame().Expel = &messenger.Expel{RosterVersion: c.registrar.Roster(c.self.Region).Version}
 	if a.admitted {
 		a.admitted = false
 		c.placer.AgentDown(now, a.peer)
@@ -159,7 +159,7 @@
 	if len(partitions) == 0 {
 		return
 	}
-	f := a.gather()
+	f := a.pendingFrame()
 	if f.Fence == nil {
 		f.Fence = &messenger.Fence{Partitions: slices.Clone(partitions), UnsettledOnly: true}
 	}
@@ -196,10 +196,10 @@
 		c.receiveFenced(now, a, f.Fenced)
 	}
 	for i := range f.RecordTransfers {
-		c.receiveBequest(a, f.RecordTransfers[i])
+		c.receiveRecordTransfer(a, f.RecordTransfers[i])
 	}
 	for i := range f.RecordTransferStatuses {
-		c.receiveBequeathed(now, a, &f.RecordTransferStatuses[i])
+		c.receiveRecordTransferStatus(now, a, &f.RecordTransferStatuses[i])
 	}
 	for i := range f.Results {
 		c.receiveResult(now, a, &f.Results[i])
@@ -213,14 +213,14 @@
 // the agent's answer: an answer from an agent that knows a higher epoch of a
 // partition proves nothing for that partition.
 func (c *Coordinator) receiveContact(now time.Time, a *agentLink, m *messenger.Contact) {
-	a.clock = m.Clock
-	a.clockAt = now
+	a.agentClock = m.Clock
+	a.agentClockAt = now
 	for _, raised := range m.Raised {
 		if int(raised.Partition) < identifier.Partitions {
-			c.sawEpoch(now, raised.Partition, raised.Epoch)
+			c.observeEpoch(now, raised.Partition, raised.Epoch)
 		}
 	}
-	if sent, ok := a.echo(m.Echo); ok {
+	if sent, ok := a.takePing(m.Echo); ok {
 		c.leaser.Confirmed(a.peer, sent)
 	}
 }
@@ -231,7 +231,7 @@
 		if int(f.Partition) >= identifier.Partitions {
 			return
 		}
-		c.sawEpoch(now, f.Partition, f.Epoch)
+		c.observeEpoch(now, f.Partition, f.Epoch)
 		if f.Epoch != c.recoverer.Epoch(f.Partition) || c.recoverer.Phase(f.Partition) == recoverer.PhaseStopped {
 			// What is being handed over is known from its export alone: a job made
 			// from records would hide it when the partition is resumed.
@@ -270,25 +270,25 @@
 func (c *Coordinator) pingWitnesses(now time.Time) {
 	for _, w := range c.leaser.Due(now) {
 		if a := c.agents[w]; a != nil {
-			a.gather()
+			a.pendingFrame()
 		}
 	}
 }
 
 // flushAgents sends the gathered frames. Every frame is also a ping.
 func (c *Coordinator) flushAgents(now time.Time) {
-	for _, a := range c.gathered.take() {
+	for _, a := range c.unsent.takeSorted() {
 		peer := a.peer
 		if c.agents[peer] != a {
 			continue
 		}
-		f := a.frame
-		a.frame = nil
-		f.Settled = a.settled
-		a.settled = nil
-		a.ping++
-		a.pings = append(a.pings, sentPing{number: a.ping, at: now})
-		f.Contact = &messenger.Contact{Ping: a.ping}
+		f := a.pending
+		a.pending = nil
+		f.Settled = a.settlements
+		a.settlements = nil
+		a.lastPing++
+		a.outstandingPings = append(a.outstandingPings, sentPing{number: a.lastPing, at: now})
+		f.Contact = &messenger.Contact{Ping: a.lastPing}
 		if backlog := c.placer.Backlog(peer); backlog > 0 && len(f.Starts) > 0 {
 			f.Credit = &messenger.Credit{Backlog: backlog}
 		}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -67,51 +67,51 @@
 	entries    map[messenger.Peer]*entryLink
 	entryOrder []messenger.Peer // entryOrder has the connected entries, sorted.
 	// away has the time since which members of the roster are out of reach.
-	away map[messenger.Peer]time.Time
+	disconnectedSince map[messenger.Peer]time.Time
 	// sighted has the time at which each entry's row was first seen.
-	sighted map[messenger.Peer]time.Time
+	unreachableSince map[messenger.Peer]time.Time
 	// highest has the highest epoch of each partition that any source reported.
-	highest [identifier.Partitions]uint64
+	highestEpoch [identifier.Partitions]uint64
 	// superseded has when each partition was last taken over from this entry.
-	superseded [identifier.Partitions]time.Time
-
-	requests   requests
-	bequests   map[messenger.Peer]*bequest // bequests has those of agents that leave through this entry.
-	handover   handovers
-	draining   bool
-	disowned   bool // disowned means that a partition was lost or stopped since the last Take.
-	pingedAt   time.Time
-	rosterPace pace                    // rosterPace is that of the comparison of the roster with the agents.
-	ownersPace pace                    // ownersPace is that of the comparison of owners with live entries.
-	wanted     claimer.PreferredOwners // wanted has the owners that the live entries should be.
-	gathered   gathered                // gathered has the agents that a frame waits for.
-	paths      map[string]string       // paths has the HTTP path of each service at its upstreams.
-	out        Output
+	takenOverAt [identifier.Partitions]time.Time
+
+	requests        requests
+	recordTransfers map[messenger.Peer]*recordTransfer // bequests has those of agents that leave through this entry.
+	handovers       handovers
+	draining        bool
+	partitionsLost  bool // disowned means that a partition was lost or stopped since the last Take.
+	entriesPingedAt time.Time
+	rosterCheck     periodicCheck           // rosterPace is that of the comparison of the roster with the agents.
+	ownersCheck     periodicCheck           // ownersPace is that of the comparison of owners with live entries.
+	preferredOwners claimer.PreferredOwners // wanted has the owners that the live entries should be.
+	unsent          unsentFrames            // gathered has the agents that a frame waits for.
+	paths           map[string]string       // paths has the HTTP path of each service at its upstreams.
+	out             Output
 }
 
 // New returns a coordinator that owns nothing.
 func New(self registrar.Entry, limits Limits, rules Rules) *Coordinator {
 	limits = limits.withDefaults(self.Region)
 	c := &Coordinator{
-		self:      self,
-		limits:    limits,
-		rules:     rules,
-		registrar: registrar.New(self, limits.Registrar, rules.Registrar),
-		leaser:    leaser.New(limits.Leaser, rules.Leaser),
-		recoverer: recoverer.New(limits.Recoverer, rules.Recoverer),
-		owner:     owner.New(limits.Owner),
-		placer:    placer.New(limits.Placer),
-		agents:    make(map[messenger.Peer]*agentLink),
-		entries:   make(map[messenger.Peer]*entryLink),
-		away:      make(map[messenger.Peer]time.Time),
-		sighted:   make(map[messenger.Peer]time.Time),
-		requests:  newRequests(limits.AnswerGracePeriod),
-		bequests:  make(map[messenger.Peer]*bequest),
-		handover:  newHandovers(),
-		paths:     make(map[string]string),
+		self:              self,
+		limits:            limits,
+		rules:             rules,
+		registrar:         registrar.New(self, limits.Registrar, rules.Registrar),
+		leaser:            leaser.New(limits.Leaser, rules.Leaser),
+		recoverer:         recoverer.New(limits.Recoverer, rules.Recoverer),
+		owner:             owner.New(limits.Owner),
+		placer:            placer.New(limits.Placer),
+		agents:            make(map[messenger.Peer]*agentLink),
+		entries:           make(map[messenger.Peer]*entryLink),
+		disconnectedSince: make(map[messenger.Peer]time.Time),
+		unreachableSince:  make(map[messenger.Peer]time.Time),
+		requests:          newRequests(limits.AnswerGracePeriod),
+		recordTransfers:   make(map[messenger.Peer]*recordTransfer),
+		handovers:         newHandovers(),
+		paths:             make(map[string]string),
 	}
 	c.owner.Rules.HoldsPartition = func(p identifier.Partition) bool { return c.Owns(p) && c.leaser.Held(c.now) }
-	c.owner.RequestsExpected = c.awaited
+	c.owner.RequestsExpected = c.mayStillBeRequested
 	return c
 }
 
@@ -149,7 +149,7 @@
 
 // Receive applies a frame from a peer.
 func (c *Coordinator) Receive(now time.Time, from messenger.Peer, f *messenger.Frame) {
-	c.begin(now)
+	c.beginEvent(now)
 	if a := c.agents[from]; a != nil {
 		c.receiveAgent(now, a, f)
 		return
@@ -161,14 +161,14 @@
 
 // StoreRead applies the outcome of a read.
 func (c *Coordinator) StoreRead(now time.Time, id uint64, r storer.Range, err error) {
-	c.begin(now)
+	c.beginEvent(now)
 	c.registrar.StoreRead(now, id, r, err)
 	c.applyRows(now)
 }
 
 // StoreWritten applies the outcome of a write.
 func (c *Coordinator) StoreWritten(now time.Time, id uint64, o storer.Outcome, err error) {
-	c.begin(now)
+	c.beginEvent(now)
 	c.registrar.StoreWritten(now, id, o, err)
 	c.applyRows(now)
 }
@@ -186,10 +186,10 @@
 	if c.draining == draining {
 		return
 	}
-	c.begin(now)
+	c.beginEvent(now)
 	c.draining = draining
 	c.self.Draining = draining
-	c.ownersPace.changed()
+	c.ownersCheck.trigger()
 	c.propose(now)
 }
 
@@ -200,12 +200,12 @@
 		return false
 	}
 	_, open := c.owner.Jobs()
-	return open == 0 && c.owner.Waiting() == 0 && (len(c.Owned()) == 0 || len(c.live(now)) == 0)
+	return open == 0 && c.owner.Waiting() == 0 && (len(c.Owned()) == 0 || len(c.liveEntries(now)) == 0)
 }
 
 // Tick applies the passing of time.
 func (c *Coordinator) Tick(now time.Time) {
-	c.begin(now)
+	c.beginEvent(now)
 	if c.started.IsZero() {
 		c.started = now
 	}
@@ -225,8 +225,8 @@
 // Take runs the controllers on what has happened, returns what is to be done and
 // clears it.
 func (c *Coordinator) Take(now time.Time) Output {
-	c.begin(now)
-	c.disown(now)
+	c.beginEvent(now)
+	c.releaseLostTasks(now)
 	c.applyOwner(now)
 	if c.leaser.Held(now) {
 		c.dispatch(now)
--- a/internal/coordinator/dispatch.go
+++ b/internal/coordinator/dispatch.go
@@ -27,13 +27,13 @@
 	for _, x := range out.Cancels {
 		if a := c.agents[x.Agent]; a != nil {
 			epoch := c.recoverer.Epoch(x.Submission.Partition())
-			f := a.gather()
+			f := a.pendingFrame()
 			f.Cancels = append(f.Cancels, messenger.Cancel{Submission: x.Submission, Epoch: epoch})
 		}
 	}
 	for _, x := range out.Settles {
 		if a := c.agents[x.Agent]; a != nil {
-			a.settle(x.Submission)
+			a.queueSettlement(x.Submission)
 		}
 	}
 }
@@ -45,25 +45,25 @@
 		if !ok || link == nil {
 			continue
 		}
-		placed := a.Tasks
-		a.Tasks = c.owner.Sent(now, a.Submission, a.Agent, placed)
-		c.returnPlaces(now, a, placed)
+		assigned := a.Tasks
+		a.Tasks = c.owner.Sent(now, a.Submission, a.Agent, assigned)
+		c.releaseUnsentTasks(now, a, assigned)
 		if len(a.Tasks) == 0 {
 			continue
 		}
-		c.noteFirstSend(now, &j)
-		f := link.gather()
+		c.recordFirstSend(now, &j)
+		f := link.pendingFrame()
 		f.Starts = append(f.Starts, c.start(now, link, &j, a))
 	}
 }
 
 // returnPlaces frees the places of tasks that the owner did not let go, because
 // they are known to be at an agent.
-func (c *Coordinator) returnPlaces(now time.Time, a placer.Assignment, placed []uint16) {
-	if len(a.Tasks) == len(placed) {
+func (c *Coordinator) releaseUnsentTasks(now time.Time, a placer.Assignment, assigned []uint16) {
+	if len(a.Tasks) == len(assigned) {
 		return
 	}
-	for _, index := range placed {
+	for _, index := range assigned {
 		if !slices.Contains(a.Tasks, index) {
 			c.placer.Ended(now, placer.End{
 				Agent:      a.Agent,
@@ -77,16 +77,16 @@
 
 // disown frees the places of tasks of partitions that this entry does not run any
 // more: their results go to the new owner.
-func (c *Coordinator) disown(now time.Time) {
-	if !c.disowned {
+func (c *Coordinator) releaseLostTasks(now time.Time) {
+	if !c.partitionsLost {
 		return
 	}
-	c.disowned = false
+	c.partitionsLost = false
 	c.placer.ReleaseTransferred(now, func(s identifier.Submission) bool { return !c.Owns(s.Partition()) })
 }
 
 func (c *Coordinator) start(now time.Time, link *agentLink, j *owner.Job, a placer.Assignment) messenger.Start {
-	clock := link.clock + now.Sub(link.clockAt)
+	clock := link.agentClock + now.Sub(link.agentClockAt)
 	s := messenger.Start{
 		Submission:    j.Submission,
 		Epoch:         c.recoverer.Epoch(j.Submission.Partition()),
--- a/internal/coordinator/drain_test.go
+++ b/internal/coordinator/drain_test.go
@@ -16,29 +16,29 @@
 // others, and undrains it: it must get the same partitions back, and every request
 // must be answered complete.
 func TestUndrain(t *testing.T) {
-	w := newWorld(func(n int) int { return n - 1 }, worldOptions{entries: 3, agents: 6, slots: 8})
-	w.settleUntil(2*time.Second, w.serving)
-	p := w.entries[0]
+	sim := newSimulation(func(n int) int { return n - 1 }, simulationOptions{entries: 3, agents: 6, slots: 8})
+	sim.runUntil(2*time.Second, sim.serving)
+	p := sim.entries[0]
 	before := p.entry.Owned()
 	if len(before) == 0 {
 		t.Fatal("the entry owns nothing to begin with")
 	}
-	w.submitMany(30, w.entries)
-	p.entry.Drain(w.now)
-	w.flush(p)
-	w.settleUntil(5*time.Second, func() bool { return len(p.entry.Owned()) == 0 })
+	sim.submitMany(30, sim.entries)
+	p.entry.Drain(sim.now)
+	sim.flush(p)
+	sim.runUntil(5*time.Second, func() bool { return len(p.entry.Owned()) == 0 })
 	if n := len(p.entry.Owned()); n > 0 {
 		t.Errorf("the drained entry still owns %d partitions", n)
 	}
 	// What reaches the drained entry goes on to the others.
-	w.submitMany(30, w.entries[:1])
-	w.settle(time.Second)
+	sim.submitMany(30, sim.entries[:1])
+	sim.runFor(time.Second)
 	if n := len(p.entry.Owned()); n > 0 {
 		t.Errorf("the drained entry has taken %d partitions", n)
 	}
-	p.entry.Undrain(w.now)
-	w.flush(p)
-	w.settle(5 * time.Second)
+	p.entry.Undrain(sim.now)
+	sim.flush(p)
+	sim.runFor(5 * time.Second)
 	after := p.entry.Owned()
 	if len(after) != len(before) {
 		t.Fatalf("the entry owned %d partitions before and %d after", len(before), len(after))
@@ -48,12 +48,12 @@
 			t.Fatalf("the entry got partition %d, not %d", after[i].Partition, before[i].Partition)
 		}
 	}
-	w.oracle.checkEnd()
-	if w.oracle.violation != "" {
-		t.Fatal(w.oracle.violation)
+	sim.oracle.checkEnd()
+	if sim.oracle.violation != "" {
+		t.Fatal(sim.oracle.violation)
 	}
-	if n := w.oracle.outcomes["complete "]; n != len(w.oracle.requests) {
-		t.Errorf("not every answer is complete:\n%s", table(w.oracle.outcomes))
+	if n := sim.oracle.outcomes["complete "]; n != len(sim.oracle.requests) {
+		t.Errorf("not every answer is complete:\n%s", table(sim.oracle.outcomes))
 	}
 }
 
@@ -65,34 +65,34 @@
 	mustSet(t, "rapid.nofailfile", "true")
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(n int) int { return rapid.IntRange(0, max(n, 1)-1).Draw(t, "") }
-		w := newWorld(pick, worldOptions{entries: 3, agents: 3, slots: 2, speed: 20})
-		w.trace = new(strings.Builder)
-		w.settleUntil(time.Second, w.serving)
-		m := drainMachine{world: w, drained: make(map[*process]bool)}
+		sim := newSimulation(pick, simulationOptions{entries: 3, agents: 3, slots: 2, maxDeliveries: 20})
+		sim.trace = new(strings.Builder)
+		sim.runUntil(time.Second, sim.serving)
+		m := drainMachine{world: sim, drained: make(map[*process]bool)}
 		t.Repeat(map[string]func(*rapid.T){
 			"":        m.check,
 			"drain":   func(*rapid.T) { m.setDrained(true) },
 			"undrain": func(*rapid.T) { m.setDrained(false) },
 			"work":    func(*rapid.T) { m.work() },
-			"kill":    func(*rapid.T) { w.kill(w.entries[pick(len(w.entries))]) },
-			"cut":     func(*rapid.T) { w.cutSome() },
-			"pause":   func(*rapid.T) { w.pauseSome() },
-			"wake":    func(*rapid.T) { w.wakeSome() },
-			"down":    func(*rapid.T) { w.down = !w.down },
+			"kill":    func(*rapid.T) { sim.kill(sim.entries[pick(len(sim.entries))]) },
+			"cut":     func(*rapid.T) { sim.breakSome() },
+			"pause":   func(*rapid.T) { sim.pauseSome() },
+			"wake":    func(*rapid.T) { sim.resumeSome() },
+			"down":    func(*rapid.T) { sim.platformDown = !sim.platformDown },
 		})
-		w.heal()
-		w.settleUntil(10*time.Second, func() bool { return m.misplaced() == "" })
-		w.oracle.checkEnd()
+		sim.heal()
+		sim.runUntil(10*time.Second, func() bool { return m.misplacedPartition() == "" })
+		sim.oracle.checkEnd()
 		m.check(t)
-		if text := m.misplaced(); text != "" {
-			t.Fatalf("%s\n%s", text, w.trace)
+		if text := m.misplacedPartition(); text != "" {
+			t.Fatalf("%s\n%s", text, sim.trace)
 		}
 	})
 }
 
 // drainMachine is a world with the entries that are drained in it.
 type drainMachine struct {
-	world   *world
+	world   *simulation
 	drained map[*process]bool
 }
 
@@ -103,20 +103,20 @@
 }
 
 func (m *drainMachine) setDrained(drained bool) {
-	w := m.world
-	p := w.anyOf(w.entries, (*process).acts)
+	sim := m.world
+	p := sim.anyOf(sim.entries, (*process).active)
 	if p == nil {
 		return
 	}
 	m.drained[p] = drained
 	if drained {
-		w.logf("%s is drained", p.peer)
-		p.entry.Drain(p.now(w))
+		sim.logf("%s is drained", p.peer)
+		p.entry.Drain(p.now(sim))
 	} else {
-		w.logf("%s is undrained", p.peer)
-		p.entry.Undrain(p.now(w))
+		sim.logf("%s is undrained", p.peer)
+		p.entry.Undrain(p.now(sim))
 	}
-	w.flush(p)
+	sim.flush(p)
 }
 
 // work lets the world go on for some steps without faults.
@@ -128,7 +128,7 @@
 
 // misplaced says which partition is not where it should be; empty if none is.
 // While every entry is drained, each keeps what nobody else may take.
-func (m *drainMachine) misplaced() string {
+func (m *drainMachine) misplacedPartition() string {
 	var live []messenger.Peer
 	for _, p := range m.world.entries {
 		if !m.drained[p] {
--- a/internal/coordinator/entries.go
+++ b/internal/coordinator/entries.go
@@ -9,39 +9,39 @@
 
 // entryLink is what the coordinator keeps for a connected entry.
 type entryLink struct {
-	peer    messenger.Peer
-	region  string
-	frame   *messenger.Frame
-	upSince time.Time
-	heardAt time.Time
+	peer           messenger.Peer
+	region         string
+	pending        *messenger.Frame
+	connectedAt    time.Time
+	lastReceivedAt time.Time
 }
 
 // gather returns the frame that gathers what goes to the entry.
-func (e *entryLink) gather() *messenger.Frame {
-	if e.frame == nil {
-		e.frame = &messenger.Frame{}
+func (e *entryLink) pendingFrame() *messenger.Frame {
+	if e.pending == nil {
+		e.pending = &messenger.Frame{}
 	}
-	return e.frame
+	return e.pending
 }
 
 func (c *Coordinator) entryUp(now time.Time, h messenger.Hello) {
-	c.entries[h.Peer] = &entryLink{peer: h.Peer, region: h.Region, upSince: now, heardAt: now}
+	c.entries[h.Peer] = &entryLink{peer: h.Peer, region: h.Region, connectedAt: now, lastReceivedAt: now}
 	c.entryOrder = insertPeer(c.entryOrder, h.Peer)
-	c.ownersPace.changed()
+	c.ownersCheck.trigger()
 	c.routeRequests(now)
 }
 
 func (c *Coordinator) entryDown(now time.Time, peer messenger.Peer) {
 	delete(c.entries, peer)
-	c.ownersPace.changed()
-	c.sighted[peer] = now
+	c.ownersCheck.trigger()
+	c.unreachableSince[peer] = now
 	c.entryOrder = removePeer(c.entryOrder, peer)
-	c.requests.lost(peer)
+	c.requests.entryDown(peer)
 	c.handoverPeerDown(now, peer)
 }
 
 func (c *Coordinator) receiveEntry(now time.Time, e *entryLink, f *messenger.Frame) {
-	e.heardAt = now
+	e.lastReceivedAt = now
 	if f.Routes != nil {
 		c.registrar.Hint(now, f.Routes.Revision)
 	}
@@ -55,46 +55,46 @@
 		c.receiveAnswer(&f.Answers[i])
 	}
 	for _, m := range f.Moved {
-		c.requests.moved(now, m.Ticket)
+		c.requests.returned(now, m.Ticket)
 	}
 }
 
 // pingEntries tells the other entries that this one lives and which table
 // revision it has seen.
 func (c *Coordinator) pingEntries(now time.Time) {
-	if now.Sub(c.pingedAt) < c.limits.EntryHeartbeatInterval {
+	if now.Sub(c.entriesPingedAt) < c.limits.EntryHeartbeatInterval {
 		return
 	}
-	c.pingedAt = now
-	c.tellRevision()
+	c.entriesPingedAt = now
+	c.announceRevision()
 }
 
-func (c *Coordinator) tellRevision() {
+func (c *Coordinator) announceRevision() {
 	for _, peer := range c.entryOrder {
-		c.entries[peer].gather().Routes = &messenger.Routes{Revision: c.registrar.Revision()}
+		c.entries[peer].pendingFrame().Routes = &messenger.Routes{Revision: c.registrar.Revision()}
 	}
 }
 
 // begin notes the time of an event. After a pause of this process the frames of
 // the others may wait unread: their silence until now says nothing about them.
-func (c *Coordinator) begin(now time.Time) {
+func (c *Coordinator) beginEvent(now time.Time) {
 	paused := !c.now.IsZero() && now.Sub(c.now) >= c.limits.SuspicionTimeout/2
 	c.now = now
 	if !paused {
 		return
 	}
 	for _, e := range c.entries {
-		e.heardAt = now
+		e.lastReceivedAt = now
 	}
-	for peer := range c.sighted {
-		c.sighted[peer] = now
+	for peer := range c.unreachableSince {
+		c.unreachableSince[peer] = now
 	}
 }
 
 // responsive reports whether an entry is connected and was heard lately.
 func (c *Coordinator) responsive(now time.Time, peer messenger.Peer) bool {
 	e := c.entries[peer]
-	return e != nil && now.Sub(e.heardAt) < c.limits.SuspicionTimeout
+	return e != nil && now.Sub(e.lastReceivedAt) < c.limits.SuspicionTimeout
 }
 
 // suspected reports whether an entry has been out of reach for so long that its
@@ -104,18 +104,18 @@
 		return false
 	}
 	since := c.started
-	if at, ok := c.sighted[peer]; ok && at.After(since) {
+	if at, ok := c.unreachableSince[peer]; ok && at.After(since) {
 		since = at
 	}
 	if e := c.entries[peer]; e != nil {
-		since = e.heardAt
+		since = e.lastReceivedAt
 	}
 	return now.Sub(since) >= c.limits.SuspicionTimeout
 }
 
 // live returns the entries of this region that may own partitions, this one
 // included unless it drains.
-func (c *Coordinator) live(now time.Time) []messenger.Peer {
+func (c *Coordinator) liveEntries(now time.Time) []messenger.Peer {
 	var out []messenger.Peer
 	for _, row := range c.registrar.Entries() {
 		if row.Region != c.self.Region || row.Draining || row.Peer == c.self.Peer {
@@ -166,10 +166,10 @@
 func (c *Coordinator) flushEntries() {
 	for _, peer := range c.entryOrder {
 		e := c.entries[peer]
-		if e.frame == nil {
+		if e.pending == nil {
 			continue
 		}
-		c.out.Sends = append(c.out.Sends, Send{To: peer, Frame: e.frame})
-		e.frame = nil
+		c.out.Sends = append(c.out.Sends, Send{To: peer, Frame: e.pending})
+		e.pending = nil
 	}
 }
--- a/internal/coordinator/expiry.go
+++ b/internal/coordinator/expiry.go
@@ -42,13 +42,13 @@
 }
 
 // keepOf drops the expiries of requests that are answered.
-func (e *expiries) keepOf(forwards map[uint64]*forward) {
+func (e *expiries) dropAnswered(forwards map[uint64]*forward) {
 	*e = slices.DeleteFunc(*e, func(x expiry) bool { return forwards[x.ticket] == nil })
 	heap.Init(e)
 }
 
 // expired removes and returns the tickets whose time has come.
-func (e *expiries) expired(now time.Time) []uint64 {
+func (e *expiries) takeExpired(now time.Time) []uint64 {
 	var out []uint64
 	for len(*e) > 0 && !now.Before((*e)[0].at) {
 		out = append(out, heap.Pop(e).(expiry).ticket)
--- a/internal/coordinator/forward.go
+++ b/internal/coordinator/forward.go
@@ -11,34 +11,34 @@
 )
 
 // movedPause is how long a request that came back waits for newer rows.
-const movedPause = 50 * time.Millisecond
+const movedRetryDelay = 50 * time.Millisecond
 
 // forward is a request of this entry for a partition that another entry owns.
 type forward struct {
 	request Request
-	to      messenger.Peer // to is the entry that has the request; empty if none has it.
+	sentTo  messenger.Peer // to is the entry that has the request; empty if none has it.
 	// sent means that some entry had the request at some time.
-	sent bool
+	everSent bool
 	// notBefore is when the request may be sent again after it came back.
 	notBefore time.Time
 }
 
 // lost records that an entry is not connected any more.
-func (r *requests) lost(peer messenger.Peer) {
+func (r *requests) entryDown(peer messenger.Peer) {
 	for _, f := range r.forwards {
-		if f.to == peer {
-			f.to = ""
+		if f.sentTo == peer {
+			f.sentTo = ""
 			r.unrouted++
 		}
 	}
 }
 
 // moved records that the entry that had a request does not own its partition.
-func (r *requests) moved(now time.Time, ticket uint64) {
+func (r *requests) returned(now time.Time, ticket uint64) {
 	if f := r.forwards[ticket]; f != nil {
-		f.to = ""
+		f.sentTo = ""
 		r.unrouted++
-		f.notBefore = now.Add(movedPause)
+		f.notBefore = now.Add(movedRetryDelay)
 	}
 }
 
@@ -46,31 +46,31 @@
 // known or not connected, the request waits; one of another region does not.
 func (c *Coordinator) route(now time.Time, ticket uint64) {
 	f := c.requests.forwards[ticket]
-	if f == nil || f.to != "" || now.Before(f.notBefore) {
+	if f == nil || f.sentTo != "" || now.Before(f.notBefore) {
 		return
 	}
 	s := f.request.Job.Submission
 	p := s.Partition()
 	if c.recoverer.Phase(p) != recoverer.PhaseNone {
 		delete(c.requests.forwards, ticket)
-		c.local(now, owner.Waiter{Ticket: ticket}, f.request)
+		c.applyLocally(now, owner.Waiter{Ticket: ticket}, f.request)
 		return
 	}
 	row := c.registrar.Partition(p)
 	e := c.entries[row.Owner]
 	if e == nil {
 		if row.Region != "" && row.Region != c.self.Region {
-			c.answerForward(ticket, unknown(s, submitter.ReasonRegionUnreachable,
+			c.answerForward(ticket, unknownAnswer(s, submitter.ReasonRegionUnreachable,
 				"the submission belongs to region "+row.Region+", which cannot be reached"))
 		}
 		return
 	}
-	if row.Epoch < c.highest[p] {
+	if row.Epoch < c.highestEpoch[p] {
 		return
 	}
-	f.to = e.peer
-	f.sent = true
-	frame := e.gather()
+	f.sentTo = e.peer
+	f.everSent = true
+	frame := e.pendingFrame()
 	frame.Forwards = append(frame.Forwards, forwardMessage(now, ticket, &f.request))
 	f.request.Resent = true
 }
@@ -83,21 +83,21 @@
 	c.requests.unrouted = 0
 	for _, ticket := range slices.Clone(c.requests.order) {
 		c.route(now, ticket)
-		if f := c.requests.forwards[ticket]; f != nil && f.to == "" {
+		if f := c.requests.forwards[ticket]; f != nil && f.sentTo == "" {
 			c.requests.unrouted++
 		}
 	}
 }
 
 // passOn makes a request of a partition that is lost wait for the new owner.
-func (c *Coordinator) passOn(w owner.Waiter, r Request) {
+func (c *Coordinator) redirect(w owner.Waiter, r Request) {
 	if w.Peer == "" {
 		r.Resent = true
-		c.requests.add(w.Ticket, &forward{request: r, sent: true})
+		c.requests.add(w.Ticket, &forward{request: r, everSent: true})
 		return
 	}
 	if e := c.entries[w.Peer]; e != nil {
-		f := e.gather()
+		f := e.pendingFrame()
 		f.Moved = append(f.Moved, messenger.Moved{Ticket: w.Ticket})
 	}
 }
@@ -109,11 +109,11 @@
 		return
 	}
 	if c.recoverer.Phase(m.Submission.Partition()) == recoverer.PhaseNone {
-		f := e.gather()
+		f := e.pendingFrame()
 		f.Moved = append(f.Moved, messenger.Moved{Ticket: m.Ticket})
 		return
 	}
-	c.local(now, w, Request{Kind: kindOf(m), NewID: m.NewID, Resent: m.Resent, Job: owner.Job{
+	c.applyLocally(now, w, Request{Kind: kindOf(m), NewID: m.NewID, Resent: m.Resent, Job: owner.Job{
 		Submission: m.Submission,
 		Service:    m.Service,
 		Team:       m.Team,
@@ -162,8 +162,8 @@
 }
 
 // unowned answers a request that no owner answered in time.
-func unowned(f *forward) *messenger.Answer {
-	if f.request.NewID && !f.sent {
+func noOwnerAnswer(f *forward) *messenger.Answer {
+	if f.request.NewID && !f.everSent {
 		return &messenger.Answer{
 			Submission: f.request.Job.Submission,
 			Outcome:    string(submitter.OutcomeNotRun),
@@ -172,5 +172,5 @@
 			RetryAfter: time.Second,
 		}
 	}
-	return unknown(f.request.Job.Submission, submitter.ReasonNoOwner, "the owner of the submission cannot be reached")
+	return unknownAnswer(f.request.Job.Submission, submitter.ReasonNoOwner, "the owner of the submission cannot be reached")
 }
--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -32,9 +32,9 @@
 // new epoch of its own, written on the same condition, so that a late write of
 // the handover cannot take effect any more.
 type handovers struct {
-	count   uint64
-	out     *outgoing // out is the handover that this entry makes; nil if there is none.
-	offered map[string]*offer
+	lastNumber uint64
+	outgoing   *outgoing // out is the handover that this entry makes; nil if there is none.
+	offers     map[string]*offer
 }
 
 // outgoingState is how far a handover has come at the owner that makes it.
@@ -54,72 +54,72 @@
 	state      outgoingState
 	partitions []messenger.HandoverPartition // partitions are stopped here.
 	jobs       []messenger.HandoverJob
-	passed     int // passed counts the jobs that went to the peer.
-	pieces     int // pieces counts the pieces in which they went.
+	jobsSent   int // passed counts the jobs that went to the peer.
+	piecesSent int // pieces counts the pieces in which they went.
 }
 
 // piece returns the next piece of the records, which has at least one job if any
 // is left. The jobs take about the given bytes at most, but for a larger first one.
-func (o *outgoing) piece(step messenger.HandoverStep, maxBytes int) *messenger.Handover {
-	begin, size := o.passed, 0
-	for o.passed < len(o.jobs) {
-		size += o.jobs[o.passed].Size()
-		if size > maxBytes && o.passed > begin {
+func (o *outgoing) nextPiece(step messenger.HandoverStep, maxBytes int) *messenger.Handover {
+	begin, size := o.jobsSent, 0
+	for o.jobsSent < len(o.jobs) {
+		size += o.jobs[o.jobsSent].Size()
+		if size > maxBytes && o.jobsSent > begin {
 			break
 		}
-		o.passed++
+		o.jobsSent++
 	}
 	h := &messenger.Handover{
 		ID:    o.id,
 		Step:  step,
-		Jobs:  o.jobs[begin:o.passed],
-		Piece: o.pieces,
-		Last:  o.passed == len(o.jobs),
+		Jobs:  o.jobs[begin:o.jobsSent],
+		Piece: o.piecesSent,
+		Last:  o.jobsSent == len(o.jobs),
 	}
-	o.pieces++
+	o.piecesSent++
 	return h
 }
 
-func newHandovers() handovers { return handovers{offered: make(map[string]*offer)} }
+func newHandovers() handovers { return handovers{offers: make(map[string]*offer)} }
 
 // beginHandover begins to pass partitions to an entry that should own them.
-func (c *Coordinator) beginHandover(now time.Time) {
-	if c.handover.out != nil || !c.registrar.Reachable() {
+func (c *Coordinator) startHandover(now time.Time) {
+	if c.handovers.outgoing != nil || !c.registrar.Reachable() {
 		return
 	}
 	to, partitions := c.chooseHandover(now)
 	if len(partitions) == 0 {
 		return
 	}
-	c.handover.count++
+	c.handovers.lastNumber++
 	out := &outgoing{
-		id:    string(c.self.Peer) + "/" + strconv.FormatUint(c.handover.count, 10),
+		id:    string(c.self.Peer) + "/" + strconv.FormatUint(c.handovers.lastNumber, 10),
 		to:    to,
 		state: outgoingOffered,
 	}
 	for _, p := range partitions {
-		past := c.recoverer.Uncertainty(now, p)
+		uncertainty := c.recoverer.Uncertainty(now, p)
 		out.partitions = append(out.partitions, messenger.HandoverPartition{
 			Partition:       p,
 			Epoch:           c.recoverer.Epoch(p),
-			UncertainBefore: past.Before,
-			Incomplete:      past.RecordsIncomplete,
+			UncertainBefore: uncertainty.Before,
+			Incomplete:      uncertainty.RecordsIncomplete,
 		})
-		out.jobs = append(out.jobs, c.stop(now, p)...)
+		out.jobs = append(out.jobs, c.stopPartition(now, p)...)
 	}
-	c.handover.out = out
+	c.handovers.outgoing = out
 	c.out.RoutesChanged = true
-	h := out.piece(messenger.HandoverOffer, c.limits.HandoverPieceBytes)
+	h := out.nextPiece(messenger.HandoverOffer, c.limits.HandoverPieceBytes)
 	// The frame is encoded later, and the handover drops partitions meanwhile.
 	h.Partitions = slices.Clone(out.partitions)
-	c.entries[to].gather().Handover = h
+	c.entries[to].pendingFrame().Handover = h
 }
 
 // chooseHandover returns the entry that wants most and what it should get.
 // Partitions whose past is not known in full stay, unless this entry drains. The
 // records take no more than the limit in bytes, but for one partition that does.
 func (c *Coordinator) chooseHandover(now time.Time) (messenger.Peer, []identifier.Partition) {
-	live := c.live(now)
+	live := c.liveEntries(now)
 	var to messenger.Peer
 	var out []identifier.Partition
 	bytes := 0
@@ -130,8 +130,8 @@
 		if !c.draining && c.recoverer.Uncertainty(now, p).RecordsIncomplete {
 			continue
 		}
-		want := c.wanted.Owner(p, live)
-		if want == "" || want == c.self.Peer || !c.steady(now, want) || (to != "" && want != to) {
+		want := c.preferredOwners.Owner(p, live)
+		if want == "" || want == c.self.Peer || !c.eligibleForHandover(now, want) || (to != "" && want != to) {
 			continue
 		}
 		bytes += c.owner.PartitionBytes(p)
@@ -149,16 +149,16 @@
 
 // steady reports whether an entry has been connected long enough to be handed
 // partitions. An entry that drains does not wait.
-func (c *Coordinator) steady(now time.Time, peer messenger.Peer) bool {
+func (c *Coordinator) eligibleForHandover(now time.Time, peer messenger.Peer) bool {
 	e := c.entries[peer]
-	return e != nil && (c.draining || now.Sub(e.upSince) >= c.limits.MinConnectionAge)
+	return e != nil && (c.draining || now.Sub(e.connectedAt) >= c.limits.MinConnectionAge)
 }
 
 // stop ends all activity of a partition and returns its records. Requests that
 // wait for its jobs are held.
-func (c *Coordinator) stop(now time.Time, p identifier.Partition) []messenger.HandoverJob {
+func (c *Coordinator) stopPartition(now time.Time, p identifier.Partition) []messenger.HandoverJob {
 	c.recoverer.Stop(p)
-	c.disowned = true
+	c.partitionsLost = true
 	jobs := c.owner.Export(now, p)
 	for _, r := range c.owner.Release(now, p) {
 		c.placer.Drop(r.Job.Submission)
@@ -171,7 +171,7 @@
 
 // handoverWrite returns the write that the handover needs now.
 func (c *Coordinator) handoverWrite() (storer.Transaction, bool) {
-	out := c.handover.out
+	out := c.handovers.outgoing
 	if out == nil {
 		return storer.Transaction{}, false
 	}
@@ -209,7 +209,7 @@
 
 // checkHandover looks at the rows after they were read.
 func (c *Coordinator) checkHandover(now time.Time) {
-	out := c.handover.out
+	out := c.handovers.outgoing
 	if out == nil {
 		return
 	}
@@ -218,16 +218,16 @@
 	})
 	if len(out.partitions) == 0 {
 		// The peer learns of the rows by their revision, which its next frame brings.
-		c.handover.out = nil
+		c.handovers.outgoing = nil
 		return
 	}
 	if out.state == outgoingOffered || out.state == outgoingAccepted {
-		c.handoverUnwanted(now, out)
+		c.cancelIfPeerRemoved(now, out)
 	}
 }
 
 // handoverUnwanted goes on with the partitions if the peer should not have them.
-func (c *Coordinator) handoverUnwanted(now time.Time, out *outgoing) {
+func (c *Coordinator) cancelIfPeerRemoved(now time.Time, out *outgoing) {
 	if _, ok := c.registrar.Entry(out.to); !ok {
 		c.cancelHandover(now, out)
 	}
@@ -235,9 +235,9 @@
 
 // cancelHandover goes on with partitions for which no write was asked for.
 func (c *Coordinator) cancelHandover(now time.Time, out *outgoing) {
-	c.handover.out = nil
+	c.handovers.outgoing = nil
 	if e := c.entries[out.to]; e != nil {
-		e.gather().Handover = &messenger.Handover{ID: out.id, Step: messenger.HandoverCancel}
+		e.pendingFrame().Handover = &messenger.Handover{ID: out.id, Step: messenger.HandoverCancel}
 	}
 	var resumed []messenger.PartitionEpoch
 	for _, hp := range out.partitions {
@@ -253,13 +253,13 @@
 }
 
 // resumeHandover makes a partition active again that this entry took back.
-func (c *Coordinator) resumeHandover(now time.Time, gained messenger.PartitionEpoch, id string) bool {
-	out := c.handover.out
+func (c *Coordinator) resumeReclaimed(now time.Time, gained messenger.PartitionEpoch, id string) bool {
+	out := c.handovers.outgoing
 	if out == nil || id != reclaimID(out.id) || c.recoverer.Phase(gained.Partition) != recoverer.PhaseStopped {
 		return false
 	}
 	c.recoverer.Resume(now, gained.Partition, gained.Epoch)
-	c.importJobs(now, jobsOf(out.jobs, gained.Partition))
+	c.importJobs(now, jobsInPartition(out.jobs, gained.Partition))
 	return true
 }
 
@@ -267,33 +267,33 @@
 func (c *Coordinator) receiveHandover(now time.Time, e *entryLink, h *messenger.Handover) {
 	switch h.Step {
 	case messenger.HandoverOffer:
-		c.handover.offered[h.ID] = &offer{from: e.peer, at: now, partitions: h.Partitions}
+		c.handovers.offers[h.ID] = &offer{from: e.peer, receivedAt: now, partitions: h.Partitions}
 		c.receivePiece(e, h)
 	case messenger.HandoverRecords:
 		c.receivePiece(e, h)
 	case messenger.HandoverNext:
-		if out := c.handover.out; out != nil && out.id == h.ID && out.to == e.peer && out.pieces == h.Piece {
-			e.gather().Handover = out.piece(messenger.HandoverRecords, c.limits.HandoverPieceBytes)
+		if out := c.handovers.outgoing; out != nil && out.id == h.ID && out.to == e.peer && out.piecesSent == h.Piece {
+			e.pendingFrame().Handover = out.nextPiece(messenger.HandoverRecords, c.limits.HandoverPieceBytes)
 		}
 	case messenger.HandoverAccept:
-		if out := c.handover.out; out != nil && out.id == h.ID && out.to == e.peer && out.state == outgoingOffered {
+		if out := c.handovers.outgoing; out != nil && out.id == h.ID && out.to == e.peer && out.state == outgoingOffered {
 			out.state = outgoingAccepted
 			c.propose(now)
 		}
 	case messenger.HandoverCancel:
-		delete(c.handover.offered, h.ID)
+		delete(c.handovers.offers, h.ID)
 	}
 }
 
 // handoverPeerDown goes on with partitions whose write was not asked for yet, and
 // forgets what the peer has offered in part.
 func (c *Coordinator) handoverPeerDown(now time.Time, peer messenger.Peer) {
-	for id, o := range c.handover.offered {
+	for id, o := range c.handovers.offers {
 		if o.from == peer && !o.complete {
-			delete(c.handover.offered, id)
+			delete(c.handovers.offers, id)
 		}
 	}
-	out := c.handover.out
+	out := c.handovers.outgoing
 	if out == nil || out.to != peer {
 		return
 	}
@@ -304,7 +304,7 @@
 
 // tickHandover applies the passing of time to handovers.
 func (c *Coordinator) tickHandover(now time.Time) {
-	if out := c.handover.out; out != nil {
+	if out := c.handovers.outgoing; out != nil {
 		switch {
 		case out.state == outgoingOffered && !c.responsive(now, out.to):
 			c.cancelHandover(now, out)
@@ -312,9 +312,9 @@
 			out.state = outgoingReclaim
 		}
 	}
-	for id, o := range c.handover.offered {
-		if c.offerEnded(now, o) {
-			delete(c.handover.offered, id)
+	for id, o := range c.handovers.offers {
+		if c.offerObsolete(now, o) {
+			delete(c.handovers.offers, id)
 		}
 	}
 }
@@ -327,7 +327,7 @@
 	}
 }
 
-func jobsOf(jobs []messenger.HandoverJob, p identifier.Partition) []messenger.HandoverJob {
+func jobsInPartition(jobs []messenger.HandoverJob, p identifier.Partition) []messenger.HandoverJob {
 	var out []messenger.HandoverJob
 	for _, j := range jobs {
 		if j.Job.Submission.Partition() == p {
--- a/internal/coordinator/handover_test.go
+++ b/internal/coordinator/handover_test.go
@@ -19,61 +19,61 @@
 		tasks    = 20
 		taskSize = 1000
 		// A message that holds more than the jobs that end it has them in a piece.
-		most = coordinator.DefaultHandoverPieceBytes + 2*tasks*taskSize
+		maxBytes = coordinator.DefaultHandoverPieceBytes + 2*tasks*taskSize
 	)
-	w := newWorld(func(n int) int { return n - 1 }, worldOptions{
+	sim := newSimulation(func(n int) int { return n - 1 }, simulationOptions{
 		entries: 2, agents: 3, slots: 8,
 		limits: func(l *coordinator.Limits) {
 			l.Owner.Window, l.Owner.MaxRecordBytes, l.Owner.MaxAnswerBytes = time.Hour, 1<<30, 1<<30
 			l.HandoverBytes, l.HandoverPieceBytes = 0, 0
 		},
 	})
-	w.settleUntil(2*time.Second, w.serving)
+	sim.runUntil(2*time.Second, sim.serving)
 	var submissions []*submission
 	for i := range jobs {
 		// All jobs are in a fourth of the partitions.
-		s := w.largeSubmission(identifier.Partition(i%64), tasks, taskSize)
+		s := sim.largeSubmission(identifier.Partition(i%64), tasks, taskSize)
 		submissions = append(submissions, s)
-		w.submitTo(w.entries[i%2], s, coordinator.RequestSubmit)
-		w.settle(50 * time.Millisecond)
+		sim.submitTo(sim.entries[i%2], s, coordinator.RequestSubmit)
+		sim.runFor(50 * time.Millisecond)
 	}
 	handovers, largest := 0, 0
-	w.sent = func(f *messenger.Frame) {
+	sim.onSend = func(f *messenger.Frame) {
 		if f.Handover == nil {
 			return
 		}
 		handovers++
 		largest = max(largest, encodedSize(t, f))
 	}
-	drained := w.entries[0]
+	drained := sim.entries[0]
 	drained.leaving = true
-	drained.entry.Drain(w.now)
-	w.settleUntil(10*time.Second, func() bool { return !drained.alive })
+	drained.entry.Drain(sim.now)
+	sim.runUntil(10*time.Second, func() bool { return !drained.alive })
 	if drained.alive {
 		t.Error("the entry did not drain")
 	}
 	t.Logf("%d messages of handovers, the largest of %d bytes", handovers, largest)
-	if largest > most {
-		t.Errorf("the largest message of a handover has %d bytes, want at most %d", largest, most)
+	if largest > maxBytes {
+		t.Errorf("the largest message of a handover has %d bytes, want at most %d", largest, maxBytes)
 	}
 	for _, s := range submissions {
-		w.submitTo(w.entries[1], s, coordinator.RequestSubmit)
+		sim.submitTo(sim.entries[1], s, coordinator.RequestSubmit)
 	}
-	w.settle(time.Second)
-	w.oracle.checkEnd()
-	if w.oracle.violation != "" {
-		t.Error(w.oracle.violation)
+	sim.runFor(time.Second)
+	sim.oracle.checkEnd()
+	if sim.oracle.violation != "" {
+		t.Error(sim.oracle.violation)
 	}
-	if complete := w.oracle.outcomes["complete "]; complete != 2*jobs {
-		t.Errorf("%d answers are complete, want %d:\n%s", complete, 2*jobs, table(w.oracle.outcomes))
+	if complete := sim.oracle.outcomes["complete "]; complete != 2*jobs {
+		t.Errorf("%d answers are complete, want %d:\n%s", complete, 2*jobs, table(sim.oracle.outcomes))
 	}
 }
 
 // largeSubmission adds a submission whose tasks have payloads of a size.
-func (w *world) largeSubmission(p identifier.Partition, tasks, size int) *submission {
-	s := w.newSubmission(p, "", tasks, 5*time.Second)
-	for i := range s.payload {
-		s.payload[i] = append(s.payload[i], bytes.Repeat([]byte{'/'}, size)...)
+func (sim *simulation) largeSubmission(p identifier.Partition, tasks, size int) *submission {
+	s := sim.newSubmission(p, "", tasks, 5*time.Second)
+	for i := range s.payloads {
+		s.payloads[i] = append(s.payloads[i], bytes.Repeat([]byte{'/'}, size)...)
 	}
 	return s
 }
--- a/internal/coordinator/fuzz_test.go
+++ b/internal/coordinator/histories_test.go
@@ -20,20 +20,20 @@
 func TestMain(m *testing.M) { seeder.Main(m) }
 
 var (
-	worldSeed      = flag.Uint64("world.seed", 0, "run the history of this seed alone and print its trace")
-	worldFirst     = flag.Uint64("world.first", 1, "seed of the first history; the others count on from it")
-	worldHistories = flag.Int("world.histories", 1500, "number of seeded histories")
-	worldSteps     = flag.Int("world.steps", 60, "steps of a seeded history")
+	seedFlag      = flag.Uint64("world.seed", 0, "run the history of this seed alone and print its trace")
+	firstSeedFlag = flag.Uint64("world.first", 1, "seed of the first history; the others count on from it")
+	historiesFlag = flag.Int("world.histories", 1500, "number of seeded histories")
+	stepsFlag     = flag.Int("world.steps", 60, "steps of a seeded history")
 )
 
 // TestHistories lets seeded histories happen and checks rules 1 to 5 after each
 // step. With -world.seed=N it repeats one and prints its trace.
 func TestHistories(t *testing.T) {
-	if *worldSeed != 0 {
-		w := history(*worldSeed, *worldSteps, true)
-		t.Log("\n" + w.trace.String())
-		if w.oracle.violation != "" {
-			t.Fatal(w.oracle.violation)
+	if *seedFlag != 0 {
+		sim := runHistory(*seedFlag, *stepsFlag, true)
+		t.Log("\n" + sim.trace.String())
+		if sim.oracle.violation != "" {
+			t.Fatal(sim.oracle.violation)
 		}
 		return
 	}
@@ -45,11 +45,11 @@
 		for lane := range lanes {
 			t.Run(fmt.Sprint(lane), func(t *testing.T) {
 				t.Parallel()
-				for i := lane; i < *worldHistories; i += lanes {
-					w := checkHistory(t, *worldFirst+uint64(i))
+				for i := lane; i < *historiesFlag; i += lanes {
+					sim := checkHistory(t, *firstSeedFlag+uint64(i))
 					mu.Lock()
-					steps += w.steps
-					for k, n := range w.oracle.outcomes {
+					steps += sim.steps
+					for k, n := range sim.oracle.outcomes {
 						outcomes[k] += n
 					}
 					mu.Unlock()
@@ -57,13 +57,13 @@
 			})
 		}
 	})
-	t.Logf("%d histories, %d steps\n%s", *worldHistories, steps, table(outcomes))
+	t.Logf("%d histories, %d steps\n%s", *historiesFlag, steps, table(outcomes))
 }
 
 // sideHistories lets seeded histories happen among few entries and agents, with an
 // event of the test's own after each step, and checks the rules after each. It
 // returns the sum of what the events return.
-func sideHistories(t *testing.T, histories, stream uint64, minAgents int, event func(*world, *rand.Rand) int) int {
+func runHistoriesWith(t *testing.T, histories, stream uint64, minAgents int, event func(*simulation, *rand.Rand) int) int {
 	t.Helper()
 	const steps = 80
 	sum := 0
@@ -71,59 +71,59 @@
 		random := rand.New(rand.NewPCG(seed, stream))
 		o := drawOptions(random.IntN)
 		o.entries, o.agents = 2+random.IntN(2), minAgents+random.IntN(3)
-		w := newWorld(random.IntN, o)
-		w.settleUntil(time.Second, w.serving)
+		sim := newSimulation(random.IntN, o)
+		sim.runUntil(time.Second, sim.serving)
 		for range steps {
-			w.step()
-			sum += event(w, random)
-			if w.oracle.violation != "" {
+			sim.step()
+			sum += event(sim, random)
+			if sim.oracle.violation != "" {
 				break
 			}
 		}
-		w.heal()
-		w.oracle.checkEnd()
-		if w.oracle.violation != "" {
-			t.Fatalf("seed %d: %s", seed, w.oracle.violation)
+		sim.heal()
+		sim.oracle.checkEnd()
+		if sim.oracle.violation != "" {
+			t.Fatalf("seed %d: %s", seed, sim.oracle.violation)
 		}
 	}
 	return sum
 }
 
-func checkHistory(t *testing.T, seed uint64) *world {
-	w := history(seed, *worldSteps, false)
-	if w.oracle.violation != "" {
-		again := history(seed, *worldSteps, true)
-		t.Fatalf("seed %d: %s\n%s", seed, w.oracle.violation, tail(again.trace.String()))
+func checkHistory(t *testing.T, seed uint64) *simulation {
+	sim := runHistory(seed, *stepsFlag, false)
+	if sim.oracle.violation != "" {
+		again := runHistory(seed, *stepsFlag, true)
+		t.Fatalf("seed %d: %s\n%s", seed, sim.oracle.violation, tail(again.trace.String()))
 	}
-	return w
+	return sim
 }
 
 // history runs the history of a seed.
-func history(seed uint64, steps int, traced bool) *world {
+func runHistory(seed uint64, steps int, traced bool) *simulation {
 	random := rand.New(rand.NewPCG(seed, 7))
 	o := drawOptions(random.IntN)
 	o.drawExtras(rand.New(rand.NewPCG(seed, 13)).IntN)
-	w := newWorld(random.IntN, o)
+	sim := newSimulation(random.IntN, o)
 	if traced {
-		w.trace = new(strings.Builder)
+		sim.trace = new(strings.Builder)
 	}
-	w.run(steps)
-	if traced && w.oracle.violation != "" {
-		w.logf("VIOLATION %s", w.oracle.violation)
+	sim.run(steps)
+	if traced && sim.oracle.violation != "" {
+		sim.logf("VIOLATION %s", sim.oracle.violation)
 	}
-	return w
+	return sim
 }
 
 // TestHistoriesRepeat runs histories twice. They must agree in every line of their
 // traces, so that a seed that is reported shows the same again: nothing that is
 // decided may rest on the order of a map or on a clock.
-func TestHistoriesRepeat(t *testing.T) {
+func TestHistoriesAreReproducible(t *testing.T) {
 	const histories = 40
 	for i := range uint64(histories) {
-		first := history(*worldFirst+i, *worldSteps, true).trace.String()
-		second := history(*worldFirst+i, *worldSteps, true).trace.String()
+		first := runHistory(*firstSeedFlag+i, *stepsFlag, true).trace.String()
+		second := runHistory(*firstSeedFlag+i, *stepsFlag, true).trace.String()
 		if first != second {
-			t.Errorf("seed %d: the traces differ (-first +second):\n%s", *worldFirst+i, tail(cmp.Diff(lines(first), lines(second))))
+			t.Errorf("seed %d: the traces differ (-first +second):\n%s", *firstSeedFlag+i, tail(cmp.Diff(lines(first), lines(second))))
 		}
 	}
 }
@@ -131,13 +131,13 @@
 func lines(text string) []string { return strings.Split(text, "\n") }
 
 // drawOptions draws the kind of a history: its sizes and how much goes wrong.
-func drawOptions(pick func(int) int) worldOptions {
-	return worldOptions{
-		entries: 1 + pick(3),
-		agents:  1 + pick(4),
-		slots:   1 + pick(2),
-		speed:   [...]int{4, 20, 60}[pick(3)],
-		faults:  [...]int{0, 4, 12, 30}[pick(4)],
+func drawOptions(pick func(int) int) simulationOptions {
+	return simulationOptions{
+		entries:       1 + pick(3),
+		agents:        1 + pick(4),
+		slots:         1 + pick(2),
+		maxDeliveries: [...]int{4, 20, 60}[pick(3)],
+		faultPercent:  [...]int{0, 4, 12, 30}[pick(4)],
 	}
 }
 
@@ -157,11 +157,11 @@
 		}
 		o := drawOptions(pick)
 		o.drawExtras(pick)
-		w := newWorld(pick, o)
-		w.trace = new(strings.Builder)
-		w.run(40)
-		if w.oracle.violation != "" {
-			t.Fatalf("%s\n%s", w.oracle.violation, w.trace)
+		sim := newSimulation(pick, o)
+		sim.trace = new(strings.Builder)
+		sim.run(40)
+		if sim.oracle.violation != "" {
+			t.Fatalf("%s\n%s", sim.oracle.violation, sim.trace)
 		}
 	})
 }
@@ -175,8 +175,8 @@
 
 // tail returns the last part of a trace; -world.seed prints all of it.
 func tail(trace string) string {
-	const most = 20_000
-	return trace[max(0, len(trace)-most):]
+	const maxBytes = 20_000
+	return trace[max(0, len(trace)-maxBytes):]
 }
 
 func table(counts map[string]int) string {
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -67,7 +67,7 @@
 		}
 		out.Agents = append(out.Agents, AgentStatus{Peer: d.Peer, State: state, Successor: d.Successor, DeclaredAt: d.DeclaredAt})
 	}
-	fencing, missing := c.waitedFor(now)
+	fencing, missing := c.partitionsWaitingFor(now)
 	for i := range out.Agents {
 		a := &out.Agents[i]
 		a.Witness = witnessState(&roster.Roster, a.Peer)
@@ -89,7 +89,7 @@
 }
 
 // waitedFor counts the partitions of this entry that wait for each agent.
-func (c *Coordinator) waitedFor(now time.Time) (fencing, missing map[messenger.Peer]int) {
+func (c *Coordinator) partitionsWaitingFor(now time.Time) (fencing, missing map[messenger.Peer]int) {
 	fencing = make(map[messenger.Peer]int)
 	missing = make(map[messenger.Peer]int)
 	for p := range identifier.Partition(identifier.Partitions) {
--- a/internal/coordinator/needed_test.go
+++ b/internal/coordinator/needed_test.go
@@ -18,15 +18,15 @@
 	rules      func(*coordinator.Rules)
 	ownerRules func(*owner.Rules)
 	guardRules func(*guard.Rules)
-	extras     worldExtras
+	extras     simulationExtras
 	// directed is a history that is known to need the rule; nil means that one is
 	// searched for among random ones.
-	directed func(*world)
+	directed func(*simulation)
 }{
 	{
 		name:       "epoch check",
 		guardRules: func(r *guard.Rules) { r.StaleEpoch = func(_, _ uint64) bool { return false } },
-		directed:   crossedStart,
+		directed:   delayedStart,
 	},
 	{
 		name: "start record",
@@ -43,7 +43,7 @@
 	{
 		name:     "lease self-check",
 		rules:    func(r *coordinator.Rules) { r.Leaser.Held = func(_, _ time.Time) bool { return true } },
-		directed: func(w *world) { splitOwner(w, 2*time.Second) },
+		directed: func(sim *simulation) { isolateOwner(sim, 2*time.Second) },
 	},
 	{
 		name: "majority of witnesses",
@@ -51,17 +51,17 @@
 			r.Leaser.Majority = func(int) int { return 1 }
 			r.Recoverer.Majority = func(int) int { return 1 }
 		},
-		directed: func(w *world) { splitOwner(w, 2*time.Second) },
+		directed: func(sim *simulation) { isolateOwner(sim, 2*time.Second) },
 	},
 	{
 		name:     "wait after fencing",
 		rules:    func(r *coordinator.Rules) { r.Recoverer.WaitOver = func(_, _ time.Time) bool { return true } },
-		directed: func(w *world) { splitOwner(w, 0) },
+		directed: func(sim *simulation) { isolateOwner(sim, 0) },
 	},
 	{
 		name:     "completeness",
 		rules:    func(r *coordinator.Rules) { r.Recoverer.RecordsComplete = func(int) bool { return true } },
-		directed: missingAgent,
+		directed: unreachableAgent,
 	},
 	{
 		name:     "write read-back",
@@ -75,17 +75,17 @@
 		// broken this rule.
 		name:     "admission",
 		rules:    func(r *coordinator.Rules) { r.Enrolled = func(bool) bool { return true } },
-		directed: strangeAgent,
+		directed: unenrolledAgent,
 	},
 	{
 		name:     "one reading of the wall clock",
-		extras:   worldExtras{wallClock: true},
-		directed: steppedBack,
+		extras:   simulationExtras{followWallClock: true},
+		directed: clockSteppedBack,
 	},
 	{
 		name:       "kept not-run answers",
 		ownerRules: func(r *owner.Rules) { r.KeepsNotRun = func() bool { return false } },
-		directed:   notRunAgain,
+		directed:   resubmitNotRun,
 	},
 	{
 		name:       "request keys",
@@ -99,7 +99,7 @@
 }
 
 // neededHistories bounds the search for a violation.
-const neededHistories = 1000
+const maxSearchedHistories = 1000
 
 // TestEachGuardIsNeeded switches each rule off and lets histories happen until one
 // breaks a rule of the oracle, which shows that the rule is needed and that the
@@ -108,7 +108,7 @@
 	for _, n := range neededRules {
 		t.Run(n.name, func(t *testing.T) {
 			t.Parallel()
-			off := worldOptions{rules: n.rules, ownerRules: n.ownerRules, guardRules: n.guardRules, worldExtras: n.extras}
+			off := simulationOptions{rules: n.rules, ownerRules: n.ownerRules, guardRules: n.guardRules, simulationExtras: n.extras}
 			if n.directed == nil {
 				searchViolation(t, off)
 				return
@@ -118,25 +118,25 @@
 	}
 }
 
-func searchViolation(t *testing.T, off worldOptions) {
-	for i := range uint64(neededHistories) {
+func searchViolation(t *testing.T, off simulationOptions) {
+	for i := range uint64(maxSearchedHistories) {
 		random := rand.New(rand.NewPCG(1+i, 11))
 		o := drawOptions(random.IntN)
-		o.faults = 12 + random.IntN(20)
+		o.faultPercent = 12 + random.IntN(20)
 		o.rules = off.rules
 		o.ownerRules = off.ownerRules
 		o.guardRules = off.guardRules
-		w := newWorld(random.IntN, o)
-		w.run(*worldSteps)
-		if strings.HasPrefix(w.oracle.violation, "rule ") {
-			t.Logf("seed %d: %s", 1+i, w.oracle.violation)
+		sim := newSimulation(random.IntN, o)
+		sim.run(*stepsFlag)
+		if strings.HasPrefix(sim.oracle.violation, "rule ") {
+			t.Logf("seed %d: %s", 1+i, sim.oracle.violation)
 			return
 		}
 	}
-	t.Errorf("%d histories without the rule broke nothing", neededHistories)
+	t.Errorf("%d histories without the rule broke nothing", maxSearchedHistories)
 }
 
-func checkDirected(t *testing.T, off worldOptions, directed func(*world)) {
+func checkDirected(t *testing.T, off simulationOptions, directed func(*simulation)) {
 	off.entries, off.agents, off.slots = 3, 3, 2
 	off.limits = func(l *coordinator.Limits) {
 		// The clocks of a directed history agree, and a takeover is shorter than
@@ -146,14 +146,14 @@
 	}
 	on := off
 	on.rules, on.ownerRules, on.guardRules = nil, nil, nil
-	on.worldExtras = worldExtras{}
-	w := runDirected(on, directed)
-	if w.oracle.violation != "" {
-		t.Fatalf("with the rule: %s\n%s", w.oracle.violation, tail(w.trace.String()))
+	on.simulationExtras = simulationExtras{}
+	sim := runDirected(on, directed)
+	if sim.oracle.violation != "" {
+		t.Fatalf("with the rule: %s\n%s", sim.oracle.violation, tail(sim.trace.String()))
 	}
-	w = runDirected(off, directed)
-	if !strings.HasPrefix(w.oracle.violation, "rule ") {
-		t.Fatalf("without the rule nothing broke\n%s", tail(w.trace.String()))
+	sim = runDirected(off, directed)
+	if !strings.HasPrefix(sim.oracle.violation, "rule ") {
+		t.Fatalf("without the rule nothing broke\n%s", tail(sim.trace.String()))
 	}
-	t.Log(w.oracle.violation)
+	t.Log(sim.oracle.violation)
 }
--- a/internal/coordinator/ownership.go
+++ b/internal/coordinator/ownership.go
@@ -37,8 +37,8 @@
 		return
 	}
 	c.out.RoutesChanged = true
-	c.ownersPace.changed()
-	c.rosterPace.changed()
+	c.ownersCheck.trigger()
+	c.rosterCheck.trigger()
 	c.applyEntryRows(now)
 	c.placer.SetEntries(c.regionSize())
 	c.applyRoster(now)
@@ -46,59 +46,59 @@
 	c.checkHandover(now)
 	c.routeRequests(now)
 	c.releaseHeld(now)
-	c.tellRevision()
+	c.announceRevision()
 	c.propose(now)
 }
 
 func (c *Coordinator) applyEntryRows(now time.Time) {
 	for _, e := range c.registrar.Entries() {
-		if _, ok := c.sighted[e.Peer]; !ok {
-			c.sighted[e.Peer] = now
+		if _, ok := c.unreachableSince[e.Peer]; !ok {
+			c.unreachableSince[e.Peer] = now
 		}
 	}
-	for peer := range c.sighted {
+	for peer := range c.unreachableSince {
 		if _, ok := c.registrar.Entry(peer); !ok {
-			delete(c.sighted, peer)
+			delete(c.unreachableSince, peer)
 		}
 	}
 	routes := c.regionEntries()
 	for _, peer := range c.agentOrder {
-		c.agents[peer].gather().Routes = &messenger.Routes{Entries: routes}
+		c.agents[peer].pendingFrame().Routes = &messenger.Routes{Entries: routes}
 	}
 }
 
 // applyPartitionRows loses and gains partitions. A row with an epoch below one
 // that was seen elsewhere is out of date and says nothing.
 func (c *Coordinator) applyPartitionRows(now time.Time) {
-	var passed, taken, fresh []messenger.PartitionEpoch
+	var handedOver, takenOver, firstOwned []messenger.PartitionEpoch
 	for p := range identifier.Partition(identifier.Partitions) {
 		row := c.registrar.Partition(p)
-		c.sawEpoch(now, p, row.Epoch)
-		if row.Epoch < c.highest[p] || row.Owner != c.self.Peer || row.Epoch == c.recoverer.Epoch(p) {
+		c.observeEpoch(now, p, row.Epoch)
+		if row.Epoch < c.highestEpoch[p] || row.Owner != c.self.Peer || row.Epoch == c.recoverer.Epoch(p) {
 			continue
 		}
 		gained := messenger.PartitionEpoch{Partition: p, Epoch: row.Epoch}
 		switch {
-		case c.resumeHandover(now, gained, row.Handover), c.gainHandover(now, gained, row.Handover):
-			passed = append(passed, gained)
+		case c.resumeReclaimed(now, gained, row.Handover), c.activateHandedOver(now, gained, row.Handover):
+			handedOver = append(handedOver, gained)
 		case row.Epoch == 1:
-			fresh = append(fresh, gained)
+			firstOwned = append(firstOwned, gained)
 		default:
-			taken = append(taken, gained)
+			takenOver = append(takenOver, gained)
 		}
 	}
-	c.recoverer.BeginFresh(fresh)
-	c.recoverer.BeginTakeover(now, taken, c.registrar.Roster(c.self.Region).Roster)
-	c.fenceAll(slices.Concat(passed, taken, fresh))
+	c.recoverer.BeginFresh(firstOwned)
+	c.recoverer.BeginTakeover(now, takenOver, c.registrar.Roster(c.self.Region).Roster)
+	c.fenceAll(slices.Concat(handedOver, takenOver, firstOwned))
 }
 
 // sawEpoch applies an epoch of a partition that any source reported. An entry
 // that owns the partition under a lower epoch owns it no more.
-func (c *Coordinator) sawEpoch(now time.Time, p identifier.Partition, epoch uint64) {
-	if epoch <= c.highest[p] {
+func (c *Coordinator) observeEpoch(now time.Time, p identifier.Partition, epoch uint64) {
+	if epoch <= c.highestEpoch[p] {
 		return
 	}
-	c.highest[p] = epoch
+	c.highestEpoch[p] = epoch
 	if c.recoverer.Phase(p) == recoverer.PhaseNone || c.recoverer.Epoch(p) >= epoch {
 		return
 	}
@@ -106,25 +106,25 @@
 	if row.Owner == c.self.Peer && row.Epoch == epoch {
 		return
 	}
-	c.lose(now, p)
+	c.endOwnership(now, p)
 }
 
 // lose ends the ownership of a partition. The requests that wait are passed on to
 // the new owner, which learns from the agents what has started.
-func (c *Coordinator) lose(now time.Time, p identifier.Partition) {
+func (c *Coordinator) endOwnership(now time.Time, p identifier.Partition) {
 	if c.recoverer.Phase(p) != recoverer.PhaseStopped {
-		c.superseded[p] = now
+		c.takenOverAt[p] = now
 	}
 	c.recoverer.End(p)
-	c.disowned = true
+	c.partitionsLost = true
 	for _, r := range c.owner.Release(now, p) {
 		c.placer.Drop(r.Job.Submission)
 		for _, w := range r.Waiters {
-			c.passOn(w, Request{Kind: RequestSubmit, Job: r.Job})
+			c.redirect(w, Request{Kind: RequestSubmit, Job: r.Job})
 		}
 	}
 	for _, h := range c.requests.takeHeld(p) {
-		c.passOn(h.waiter, h.request)
+		c.redirect(h.waiter, h.request)
 	}
 	c.out.RoutesChanged = true
 }
@@ -143,49 +143,49 @@
 		c.registrar.Propose(t)
 		return
 	}
-	ownersDue := c.ownersPace.due(now, ownersCheckEvery)
+	ownersDue := c.ownersCheck.due(now, ownersCheckInterval)
 	if ownersDue {
-		if t, ok := c.claim(now); ok {
+		if t, ok := c.claimWrite(now); ok {
 			c.registrar.Propose(t)
 			return
 		}
 	}
-	if t, ok := c.bequestWrite(); ok {
+	if t, ok := c.recordTransferWrite(); ok {
 		c.registrar.Propose(t)
 		return
 	}
-	if c.rosterPace.due(now, rosterCheckEvery) {
+	if c.rosterCheck.due(now, rosterCheckInterval) {
 		if t, ok := c.rosterWrite(now); ok {
 			c.registrar.Propose(t)
 			return
 		}
-		c.rosterPace.passed(now)
+		c.rosterCheck.recordClean(now)
 	}
 	if !ownersDue {
 		return
 	}
-	c.ownersPace.passed(now)
-	if t, ok := c.cleanup(now); ok {
+	c.ownersCheck.recordClean(now)
+	if t, ok := c.entryRemovalWrite(now); ok {
 		c.registrar.Propose(t)
 		return
 	}
-	c.beginHandover(now)
+	c.startHandover(now)
 }
 
 // claim takes over the partitions of this region that have no owner, or whose
 // owner is out of reach, and that this entry should own. The write is conditional
 // on the roster, so that the agents to be asked are known, and it renews this
 // entry's row, so that what this entry relies on, and that it recovers, is on record.
-func (c *Coordinator) claim(now time.Time) (storer.Transaction, bool) {
+func (c *Coordinator) claimWrite(now time.Time) (storer.Transaction, bool) {
 	var t storer.Transaction
 	if c.draining {
 		return t, false
 	}
-	live := c.live(now)
+	live := c.liveEntries(now)
 	self := c.self
 	for p := range identifier.Partition(identifier.Partitions) {
 		row := c.registrar.Partition(p)
-		if !c.claimable(now, p, row) || c.wanted.Owner(p, live) != c.self.Peer {
+		if !c.claimable(now, p, row) || c.preferredOwners.Owner(p, live) != c.self.Peer {
 			continue
 		}
 		self.Recovering = self.Recovering || row.Epoch > 0
@@ -211,12 +211,12 @@
 	if row.Region != c.self.Region || row.Owner == c.self.Peer || !c.suspected(now, row.Owner) {
 		return false
 	}
-	since := c.superseded[p]
-	return since.IsZero() || now.Sub(since) >= supersededPauses*c.limits.SuspicionTimeout
+	since := c.takenOverAt[p]
+	return since.IsZero() || now.Sub(since) >= reclaimDelayFactor*c.limits.SuspicionTimeout
 }
 
 // supersededPauses is how many times the suspicion time an entry waits before it
 // takes back a partition that was taken over from it. Two entries that reach the
 // platform and not each other would otherwise take partitions from each other
 // faster than either can serve them.
-const supersededPauses = 10
+const reclaimDelayFactor = 10
--- a/internal/coordinator/query.go
+++ b/internal/coordinator/query.go
@@ -82,7 +82,7 @@
 }
 
 // noteFirstSend records how long a job waited if nothing of it was sent yet.
-func (c *Coordinator) noteFirstSend(now time.Time, j *owner.Job) {
+func (c *Coordinator) recordFirstSend(now time.Time, j *owner.Job) {
 	if waited, first := c.owner.FirstSend(now, j.Submission); first {
 		c.out.QueueTimes = append(c.out.QueueTimes, QueueTime{Service: j.Service, Duration: waited})
 	}
--- a/internal/coordinator/regions_test.go
+++ b/internal/coordinator/regions_test.go
@@ -19,16 +19,16 @@
 
 // regionsWorld returns a settled world of two regions with two entries and two
 // agents each. The first entry is of the eastern region.
-func regionsWorld() *world {
-	o := worldOptions{entries: 4, agents: 4, slots: 2}
+func newTwoRegionSimulation() *simulation {
+	o := simulationOptions{entries: 4, agents: 4, slots: 2}
 	o.regions = 2
-	return runDirected(o, func(*world) {})
+	return runDirected(o, func(*simulation) {})
 }
 
 // ask submits a submission and returns its request.
-func (w *world) ask(p *process, s *submission) *request {
-	w.submitTo(p, s, coordinator.RequestSubmit)
-	return w.oracle.requests[len(w.oracle.requests)-1]
+func (sim *simulation) submitRequest(p *process, s *submission) *request {
+	sim.submitTo(p, s, coordinator.RequestSubmit)
+	return sim.oracle.requests[len(sim.oracle.requests)-1]
 }
 
 // answers writes the answers of requests.
@@ -44,58 +44,58 @@
 // are joined, apart and joined again. Apart, what belongs to the other region is
 // answered unknown without a wait and starts nothing.
 func TestRegions(t *testing.T) {
-	w := regionsWorld()
-	here := w.entries[0]
+	sim := newTwoRegionSimulation()
+	east := sim.entries[0]
 	ask := func(p identifier.Partition) (*submission, *request) {
-		s := w.newSubmission(p, "", 3, time.Second)
-		return s, w.ask(here, s)
+		s := sim.newSubmission(p, "", 3, time.Second)
+		return s, sim.submitRequest(east, s)
 	}
 	_, near := ask(eastern)
 	_, far := ask(western)
-	w.quiesce()
-	w.partRegions()
-	w.quiesce()
+	sim.quiesce()
+	sim.splitRegions()
+	sim.quiesce()
 	_, nearApart := ask(eastern)
 	late, farApart := ask(western)
-	w.quiesce()
-	startedApart := w.oracle.ran[late.id]
-	w.joinRegions()
-	w.settle(time.Second)
-	farAgain := w.ask(here, late)
-	w.quiesce()
+	sim.quiesce()
+	startedApart := sim.oracle.ran[late.id]
+	sim.rejoinRegions()
+	sim.runFor(time.Second)
+	farAgain := sim.submitRequest(east, late)
+	sim.quiesce()
 	want := []string{"complete ", "complete ", "complete ", "unknown region-unreachable", "complete "}
 	if diff := cmp.Diff(want, answers(near, far, nearApart, farApart, farAgain)); diff != "" {
-		t.Errorf("answers (-want +got):\n%s\n%s", diff, tail(w.trace.String()))
+		t.Errorf("answers (-want +got):\n%s\n%s", diff, tail(sim.trace.String()))
 	}
 	if startedApart {
 		t.Error("a task of the other region started while the regions were apart")
 	}
-	if w.oracle.violation != "" {
-		t.Error(w.oracle.violation)
+	if sim.oracle.violation != "" {
+		t.Error(sim.oracle.violation)
 	}
 }
 
 // TestRegionsPartDuringJob parts the regions while a job that was passed on runs.
 // Its caller is told unknown; when the regions are joined, the same id gets the
 // answer, and no task has started twice.
-func TestRegionsPartDuringJob(t *testing.T) {
-	w := regionsWorld()
-	here := w.entries[0]
-	s := w.newSubmission(western, "", 3, 2*time.Second)
-	first := w.ask(here, s)
-	for !w.oracle.ran[s.id] {
-		w.deliver(w.deliverable()[0])
+func TestRegionSplitDuringJob(t *testing.T) {
+	sim := newTwoRegionSimulation()
+	east := sim.entries[0]
+	s := sim.newSubmission(western, "", 3, 2*time.Second)
+	first := sim.submitRequest(east, s)
+	for !sim.oracle.ran[s.id] {
+		sim.deliver(sim.deliverable()[0])
 	}
-	w.partRegions()
-	w.settle(200 * time.Millisecond)
-	w.joinRegions()
-	w.settle(time.Second)
-	again := w.ask(here, s)
-	w.quiesce()
+	sim.splitRegions()
+	sim.runFor(200 * time.Millisecond)
+	sim.rejoinRegions()
+	sim.runFor(time.Second)
+	again := sim.submitRequest(east, s)
+	sim.quiesce()
 	if diff := cmp.Diff([]string{"unknown region-unreachable", "complete "}, answers(first, again)); diff != "" {
-		t.Errorf("answers (-want +got):\n%s\n%s", diff, tail(w.trace.String()))
+		t.Errorf("answers (-want +got):\n%s\n%s", diff, tail(sim.trace.String()))
 	}
-	if w.oracle.violation != "" {
-		t.Error(w.oracle.violation)
+	if sim.oracle.violation != "" {
+		t.Error(sim.oracle.violation)
 	}
 }
--- a/internal/coordinator/requests.go
+++ b/internal/coordinator/requests.go
@@ -37,13 +37,13 @@
 // requests are those that no owner at this entry has taken: they wait for another
 // entry's answer, for a partition to become active, or for an owner to be known.
 type requests struct {
-	forwards map[uint64]*forward
-	order    []uint64 // order has the tickets of forwards in order of arrival; some may be gone.
-	expiries expiries // expiries has every forward, and some that are gone.
-	unrouted int      // unrouted is at least the number of forwards that no entry has.
-	held     [identifier.Partitions][]heldRequest
-	heldSize int
-	slack    time.Duration // slack is how long after a deadline the owner's answer is awaited.
+	forwards    map[uint64]*forward
+	order       []uint64 // order has the tickets of forwards in order of arrival; some may be gone.
+	expiries    expiries // expiries has every forward, and some that are gone.
+	unrouted    int      // unrouted is at least the number of forwards that no entry has.
+	held        [identifier.Partitions][]heldRequest
+	heldSize    int
+	gracePeriod time.Duration // slack is how long after a deadline the owner's answer is awaited.
 }
 
 // heldRequest is a request for a partition of this entry that is not active.
@@ -52,11 +52,11 @@
 	request Request
 	// until is when the records of agents are awaited no more; zero if the request
 	// does not wait for them.
-	until time.Time
+	recordsDeadline time.Time
 }
 
-func newRequests(slack time.Duration) requests {
-	return requests{forwards: make(map[uint64]*forward), slack: slack}
+func newRequests(gracePeriod time.Duration) requests {
+	return requests{forwards: make(map[uint64]*forward), gracePeriod: gracePeriod}
 }
 
 func (r *requests) waiting() int { return len(r.forwards) + r.heldSize }
@@ -65,10 +65,10 @@
 	r.forwards[ticket] = f
 	r.unrouted++
 	r.order = append(r.order, ticket)
-	heap.Push(&r.expiries, expiry{at: f.request.Job.Deadline.Add(r.slack), ticket: ticket})
+	heap.Push(&r.expiries, expiry{at: f.request.Job.Deadline.Add(r.gracePeriod), ticket: ticket})
 	if len(r.order) > 2*len(r.forwards)+64 {
 		r.order = slices.DeleteFunc(r.order, func(t uint64) bool { return r.forwards[t] == nil })
-		r.expiries.keepOf(r.forwards)
+		r.expiries.dropAnswered(r.forwards)
 	}
 }
 
@@ -92,9 +92,9 @@
 
 // Request applies a request of a caller.
 func (c *Coordinator) Request(now time.Time, ticket uint64, r Request) {
-	c.begin(now)
+	c.beginEvent(now)
 	if c.recoverer.Phase(r.Job.Submission.Partition()) != recoverer.PhaseNone {
-		c.local(now, owner.Waiter{Ticket: ticket}, r)
+		c.applyLocally(now, owner.Waiter{Ticket: ticket}, r)
 		return
 	}
 	c.requests.add(ticket, &forward{request: r})
@@ -102,20 +102,20 @@
 }
 
 // local applies a request for a partition that this entry owns.
-func (c *Coordinator) local(now time.Time, w owner.Waiter, r Request) {
-	c.localUntil(now, w, r, now.Add(c.limits.Owner.AgentLossTimeout))
+func (c *Coordinator) applyLocally(now time.Time, w owner.Waiter, r Request) {
+	c.applyLocallyUntil(now, w, r, now.Add(c.limits.Owner.AgentLossTimeout))
 }
 
 // localUntil applies a request that waits for records until the given time.
-func (c *Coordinator) localUntil(now time.Time, w owner.Waiter, r Request, until time.Time) {
+func (c *Coordinator) applyLocallyUntil(now time.Time, w owner.Waiter, r Request, recordsDeadline time.Time) {
 	j := r.Job
 	if c.recoverer.Phase(j.Submission.Partition()) != recoverer.PhaseActive {
 		c.requests.hold(j.Submission.Partition(), heldRequest{waiter: w, request: r})
 		return
 	}
-	past := c.past(now, &r)
-	if past == recoverer.FormerOutcomeUnknown {
-		c.localUncertain(now, w, r, until)
+	outcome := c.formerOutcome(now, &r)
+	if outcome == recoverer.FormerOutcomeUnknown {
+		c.applyUncertain(now, w, r, recordsDeadline)
 		return
 	}
 	switch r.Kind {
@@ -132,7 +132,7 @@
 	if len(tasks) == 0 {
 		return
 	}
-	if past == recoverer.FormerOutcomeNotRun && !known {
+	if outcome == recoverer.FormerOutcomeNotRun && !known {
 		c.owner.Refuse(now, j.Submission, submitter.ReasonOwnerChanged,
 			"the former owner of the submission is gone and it did not run", time.Second)
 		return
@@ -146,38 +146,38 @@
 // past returns what may have become of a request's id, or of its request key,
 // under a former owner. A new id does not help an old key: the key may have been
 // used under another id.
-func (c *Coordinator) past(now time.Time, r *Request) recoverer.FormerOutcome {
+func (c *Coordinator) formerOutcome(now time.Time, r *Request) recoverer.FormerOutcome {
 	if r.Job.RequestKey != "" && c.recoverer.Uncertainty(now, r.Job.Submission.Partition()).RecordsIncomplete {
 		return recoverer.FormerOutcomeUnknown
 	}
 	if r.NewID && !r.Resent {
 		return recoverer.FormerOutcomeNone
 	}
-	past := c.recoverer.FormerOutcome(now, r.Job.Submission)
-	if r.NewID && past == recoverer.FormerOutcomeNotRun {
+	outcome := c.recoverer.FormerOutcome(now, r.Job.Submission)
+	if r.NewID && outcome == recoverer.FormerOutcomeNotRun {
 		// Nobody but the resent request asked for the id, and it had no answer.
 		return recoverer.FormerOutcomeNone
 	}
-	return past
+	return outcome
 }
 
 // localUncertain applies a request for an id that may have run under a former
 // owner while some agent's records are missing. If every task is known to have
 // started, the job goes on, since nothing of it can be started again. If some are,
 // the request waits for a while for the records of the others.
-func (c *Coordinator) localUncertain(now time.Time, w owner.Waiter, r Request, until time.Time) {
+func (c *Coordinator) applyUncertain(now time.Time, w owner.Waiter, r Request, recordsDeadline time.Time) {
 	j := r.Job
 	started := c.owner.Started(j.Submission)
 	switch {
 	case r.Kind == RequestSubmit && started > 0 && started == len(j.Tasks):
 		c.owner.Submit(now, w, j)
-	case r.Kind == RequestSubmit && started > 0 && now.Before(until):
-		c.requests.hold(j.Submission.Partition(), heldRequest{waiter: w, request: r, until: until})
+	case r.Kind == RequestSubmit && started > 0 && now.Before(recordsDeadline):
+		c.requests.hold(j.Submission.Partition(), heldRequest{waiter: w, request: r, recordsDeadline: recordsDeadline})
 	case r.Kind == RequestCancel && c.owner.Cancel(now, j.Submission, j.Team):
 		c.attach(now, w, j)
 	case r.Kind == RequestAttach && c.owner.Attach(now, w, j.Submission, j.Team, j.Deadline):
 	default:
-		c.deliver(now, w, unknown(j.Submission, submitter.ReasonOwnerChanged,
+		c.deliver(now, w, unknownAnswer(j.Submission, submitter.ReasonOwnerChanged,
 			"the former owner of the submission is gone and not every agent's records are known"))
 	}
 }
@@ -186,7 +186,7 @@
 // that is another team's, is answered the same way.
 func (c *Coordinator) attach(now time.Time, w owner.Waiter, j owner.Job) {
 	if !c.owner.Attach(now, w, j.Submission, j.Team, j.Deadline) {
-		c.deliver(now, w, unknown(j.Submission, submitter.ReasonNoSuchSubmission, "no such submission is known"))
+		c.deliver(now, w, unknownAnswer(j.Submission, submitter.ReasonNoSuchSubmission, "no such submission is known"))
 	}
 }
 
@@ -200,10 +200,10 @@
 			continue
 		}
 		for _, h := range c.requests.takeHeld(p) {
-			if h.until.IsZero() {
-				h.until = now.Add(c.limits.Owner.AgentLossTimeout)
+			if h.recordsDeadline.IsZero() {
+				h.recordsDeadline = now.Add(c.limits.Owner.AgentLossTimeout)
 			}
-			c.localUntil(now, h.waiter, h.request, h.until)
+			c.applyLocallyUntil(now, h.waiter, h.request, h.recordsDeadline)
 		}
 	}
 }
@@ -212,9 +212,9 @@
 // which the owner's own answer may still arrive. A request whose id was made for
 // it and that never left this entry did not run.
 func (c *Coordinator) expireRequests(now time.Time) {
-	for _, ticket := range c.requests.expiries.expired(now) {
+	for _, ticket := range c.requests.expiries.takeExpired(now) {
 		if f := c.requests.forwards[ticket]; f != nil {
-			c.answerForward(ticket, unowned(f))
+			c.answerForward(ticket, noOwnerAnswer(f))
 		}
 	}
 	if c.requests.heldSize > 0 {
@@ -227,15 +227,15 @@
 func (c *Coordinator) expireHeld(now time.Time, p identifier.Partition) {
 	held := c.requests.takeHeld(p)
 	for _, h := range held {
-		if !h.until.IsZero() && !now.Before(h.until) {
-			c.localUntil(now, h.waiter, h.request, h.until)
+		if !h.recordsDeadline.IsZero() && !now.Before(h.recordsDeadline) {
+			c.applyLocallyUntil(now, h.waiter, h.request, h.recordsDeadline)
 			continue
 		}
 		if now.Before(h.request.Job.Deadline) {
 			c.requests.hold(p, h)
 			continue
 		}
-		c.deliver(now, h.waiter, unknown(h.request.Job.Submission, submitter.ReasonOwnerChanged,
+		c.deliver(now, h.waiter, unknownAnswer(h.request.Job.Submission, submitter.ReasonOwnerChanged,
 			"the owner of the submission was being replaced when the deadline passed"))
 	}
 }
@@ -244,7 +244,7 @@
 // own the submission by now and may still run it, so only a complete answer is true.
 func (c *Coordinator) deliver(now time.Time, w owner.Waiter, a *messenger.Answer) {
 	if a.Outcome != string(submitter.OutcomeComplete) && !c.leaser.Held(now) {
-		a = unknown(a.Submission, submitter.ReasonOwnerChanged,
+		a = unknownAnswer(a.Submission, submitter.ReasonOwnerChanged,
 			"the entry cannot tell whether it still owns the submission; it found: "+a.Reason)
 	}
 	if w.Peer == "" {
@@ -257,12 +257,12 @@
 	}
 	own := *a
 	own.Ticket = w.Ticket
-	f := e.gather()
+	f := e.pendingFrame()
 	f.Answers = append(f.Answers, own)
 }
 
 // unknown returns an answer that claims nothing.
-func unknown(s identifier.Submission, reason submitter.Reason, detail string) *messenger.Answer {
+func unknownAnswer(s identifier.Submission, reason submitter.Reason, detail string) *messenger.Answer {
 	return &messenger.Answer{
 		Submission: s,
 		Outcome:    string(submitter.OutcomeUnknown),
--- a/internal/coordinator/roster.go
+++ b/internal/coordinator/roster.go
@@ -16,7 +16,7 @@
 	roster := c.registrar.Roster(c.self.Region)
 	c.leaser.SetWitnesses(roster.Witnesses)
 	c.self.RosterVersion = roster.Version
-	c.checkBequests()
+	c.checkRecordTransfers()
 	declared := roster.DeclaredDead()
 	c.recoverer.SetDeclaredDead(declared)
 	for _, peer := range declared {
@@ -26,13 +26,13 @@
 		c.admit(now, c.agents[peer])
 	}
 	for _, m := range roster.Members {
-		if _, ok := c.away[m.Peer]; !ok && c.agents[m.Peer] == nil {
-			c.away[m.Peer] = now
+		if _, ok := c.disconnectedSince[m.Peer]; !ok && c.agents[m.Peer] == nil {
+			c.disconnectedSince[m.Peer] = now
 		}
 	}
-	for peer := range c.away {
+	for peer := range c.disconnectedSince {
 		if !roster.HasMember(peer) {
-			delete(c.away, peer)
+			delete(c.disconnectedSince, peer)
 		}
 	}
 }
@@ -40,21 +40,21 @@
 // keeps reports whether this entry looks after the roster: the first of the
 // entries of the region that live. Two entries may think so for a while; their
 // writes are conditional.
-func (c *Coordinator) keeps(now time.Time) bool {
-	live := c.live(now)
+func (c *Coordinator) maintainsRoster(now time.Time) bool {
+	live := c.liveEntries(now)
 	return len(live) > 0 && live[0] == c.self.Peer
 }
 
 // rosterWrite returns the write of a roster that differs from the current one.
 func (c *Coordinator) rosterWrite(now time.Time) (storer.Transaction, bool) {
-	if !c.keeps(now) {
+	if !c.maintainsRoster(now) {
 		return storer.Transaction{}, false
 	}
 	current := c.registrar.Roster(c.self.Region)
 	next, changed := enroller.Propose(c.limits.Enroller, enroller.Input{
 		Current:         current,
 		Connected:       c.connectedAgents(),
-		UnreachableFor:  func(peer messenger.Peer) time.Duration { return c.goneFor(now, peer) },
+		UnreachableFor:  func(peer messenger.Peer) time.Duration { return c.disconnectedFor(now, peer) },
 		MinVersionInUse: c.lowestAdopted(),
 		Now:             now,
 	})
@@ -75,8 +75,8 @@
 	return out
 }
 
-func (c *Coordinator) goneFor(now time.Time, peer messenger.Peer) time.Duration {
-	since, ok := c.away[peer]
+func (c *Coordinator) disconnectedFor(now time.Time, peer messenger.Peer) time.Duration {
+	since, ok := c.disconnectedSince[peer]
 	if !ok {
 		return 0
 	}
@@ -98,11 +98,11 @@
 // cleanup removes the row of an entry that is gone. The row says which witnesses
 // the entry may still rely on, so it stays until every partition of entries that
 // are gone has an owner that has fenced the former one.
-func (c *Coordinator) cleanup(now time.Time) (storer.Transaction, bool) {
-	if !c.keeps(now) {
+func (c *Coordinator) entryRemovalWrite(now time.Time) (storer.Transaction, bool) {
+	if !c.maintainsRoster(now) {
 		return storer.Transaction{}, false
 	}
-	var gone messenger.Peer
+	var removed messenger.Peer
 	for _, e := range c.registrar.Entries() {
 		switch {
 		case e.Region != c.self.Region:
@@ -113,15 +113,15 @@
 		case c.ownsAny(e.Peer):
 			return storer.Transaction{}, false
 		default:
-			gone = e.Peer
+			removed = e.Peer
 		}
 	}
-	if gone == "" {
+	if removed == "" {
 		return storer.Transaction{}, false
 	}
 	return storer.Transaction{
-		Conditions: []storer.Condition{c.registrar.EntryCondition(gone)},
-		Deletes:    []string{registrar.EntryKey(gone)},
+		Conditions: []storer.Condition{c.registrar.EntryCondition(removed)},
+		Deletes:    []string{registrar.EntryKey(removed)},
 	}, true
 }
 
--- a/internal/coordinator/world_oracle_test.go
+++ b/internal/coordinator/simulation_oracle_test.go
@@ -17,12 +17,12 @@
 
 // submission is what callers made of one submission id.
 type submission struct {
-	id      identifier.Submission
-	name    string
-	key     string
-	payload [][]byte // payload has one entry a task.
-	timeout time.Duration
-	fresh   bool // fresh means that an entry made the id and its caller does not know it.
+	id          identifier.Submission
+	name        string
+	key         string
+	payloads    [][]byte // payload has one entry a task.
+	timeout     time.Duration
+	idFromEntry bool // fresh means that an entry made the id and its caller does not know it.
 }
 
 // request is one request for a submission.
@@ -144,13 +144,13 @@
 // the id, which may be the other body.
 func (o *oracle) checkComplete(r *request, a coordinator.TicketAnswer) {
 	s := r.submission
-	if len(a.Answer.Results) != len(s.payload) {
-		o.fail("rule 2: %s has %d tasks and %d results", s.name, len(s.payload), len(a.Answer.Results))
+	if len(a.Answer.Results) != len(s.payloads) {
+		o.fail("rule 2: %s has %d tasks and %d results", s.name, len(s.payloads), len(a.Answer.Results))
 		return
 	}
 	for i, result := range a.Answer.Results {
 		other := i == 0 && r.kind != coordinator.RequestSubmit && bytes.Equal(result, resultOf(otherBody))
-		if !other && !bytes.Equal(result, resultOf(s.payload[i])) {
+		if !other && !bytes.Equal(result, resultOf(s.payloads[i])) {
 			o.fail("rule 2: %s got the result %q for task %d", s.name, result, i)
 		}
 	}
@@ -158,10 +158,10 @@
 
 // checkDeadlines checks that an entry that has just noticed the time owes no
 // answer.
-func (o *oracle) checkDeadlines(w *world, p *process) {
+func (o *oracle) checkDeadlines(sim *simulation, p *process) {
 	for ticket, r := range o.requests {
-		if r.entry == p && r.owed() && p.now(w).After(r.deadline.Add(answerSlack)) {
-			o.fail("rule 2: ticket %d of %s has no answer %s after its deadline", ticket, r.submission.name, p.now(w).Sub(r.deadline))
+		if r.entry == p && r.unanswered() && p.now(sim).After(r.deadline.Add(answerSlack)) {
+			o.fail("rule 2: ticket %d of %s has no answer %s after its deadline", ticket, r.submission.name, p.now(sim).Sub(r.deadline))
 		}
 	}
 }
@@ -169,16 +169,16 @@
 // checkEnd checks that every request at a living entry was answered.
 func (o *oracle) checkEnd() {
 	for ticket, r := range o.requests {
-		if r.entry.alive && r.owed() {
+		if r.entry.alive && r.unanswered() {
 			o.fail("rule 5: ticket %d of %s was never answered", ticket, r.submission.name)
 		}
 	}
 }
 
 // paid reports whether every request at a living entry was answered.
-func (o *oracle) paid() bool {
+func (o *oracle) allAnswered() bool {
 	for _, r := range o.requests {
-		if r.entry.alive && r.owed() {
+		if r.entry.alive && r.unanswered() {
 			return false
 		}
 	}
@@ -186,13 +186,13 @@
 }
 
 // checkGone checks that an entry that shuts down owes no answer.
-func (o *oracle) checkGone(p *process) {
+func (o *oracle) checkShutdown(p *process) {
 	for ticket, r := range o.requests {
-		if r.entry == p && r.owed() {
+		if r.entry == p && r.unanswered() {
 			o.fail("rule 5: %s shut down and ticket %d of %s had no answer", p.peer, ticket, r.submission.name)
 		}
 	}
 }
 
 // owed reports whether the request must still be answered.
-func (r *request) owed() bool { return r.answer == "" && !r.abandoned }
+func (r *request) unanswered() bool { return r.answer == "" && !r.abandoned }
--- a/internal/coordinator/takeover_test.go
+++ b/internal/coordinator/takeover_test.go
@@ -18,39 +18,39 @@
 // TestTakeoverAt900Agents lets an owner die among 900 agents with the limits of
 // production and measures the time to the next start, and what the takeover sends.
 func TestTakeoverAt900Agents(t *testing.T) {
-	w := newWorld(func(n int) int { return n - 1 }, worldOptions{entries: 3, agents: 900, slots: 8, limits: productionTimes})
-	for i, e := range w.entries {
-		for _, p := range append(append([]*process{}, w.entries[i+1:]...), w.agents...) {
-			w.connect(e, p)
+	sim := newSimulation(func(n int) int { return n - 1 }, simulationOptions{entries: 3, agents: 900, slots: 8, limits: productionTimings})
+	for i, e := range sim.entries {
+		for _, p := range append(append([]*process{}, sim.entries[i+1:]...), sim.agents...) {
+			sim.connect(e, p)
 		}
 	}
-	if !w.pumpUntil(20*time.Second, w.serving) {
+	if !sim.deliverUntil(20*time.Second, sim.serving) {
 		t.Fatal("the entries do not serve")
 	}
-	dead := w.entries[0]
+	dead := sim.entries[0]
 	var p identifier.Partition
 	for !dead.entry.Owns(p) {
 		p++
 	}
 	var sent traffic
-	w.sent = sent.count
-	w.kill(dead)
-	w.entries[0].paused = true
-	died := w.now
-	w.submitFresh(w.entries[1], w.newSubmission(p, "", 1, 30*time.Second))
-	started := func() bool { return len(w.oracle.starts) > 0 }
-	if !w.pumpUntil(20*time.Second, started) || w.oracle.violation != "" {
-		t.Fatalf("no task started; violation %q", w.oracle.violation)
+	sim.onSend = sent.count
+	sim.kill(dead)
+	sim.entries[0].paused = true
+	died := sim.now
+	sim.submitWithNewID(sim.entries[1], sim.newSubmission(p, "", 1, 30*time.Second))
+	started := func() bool { return len(sim.oracle.starts) > 0 }
+	if !sim.deliverUntil(20*time.Second, started) || sim.oracle.violation != "" {
+		t.Fatalf("no task started; violation %q", sim.oracle.violation)
 	}
 	t.Logf("first start %s after the death; fences and their answers: %d messages, %d bytes; all messages: %d, %d bytes",
-		w.now.Sub(died), sent.fences, sent.fenceBytes, sent.all, sent.allBytes)
-	if took := w.now.Sub(died); took > takeoverTarget {
+		sim.now.Sub(died), sent.fences, sent.fenceBytes, sent.all, sent.allBytes)
+	if took := sim.now.Sub(died); took > takeoverTarget {
 		t.Errorf("the first start came %s after the death, want at most %s", took, takeoverTarget)
 	}
 }
 
 // productionTimes sets the times that the program's settings have.
-func productionTimes(l *coordinator.Limits) {
+func productionTimings(l *coordinator.Limits) {
 	l.Leaser.LeaseDuration, l.Leaser.Margin = 3*time.Second, 100*time.Millisecond
 	l.Recoverer.LeaseDuration = 3 * time.Second
 	l.Recoverer.MaxClockSkew = 2 * time.Second
@@ -80,32 +80,32 @@
 }
 
 // submitFresh submits a job whose id the entry has made.
-func (w *world) submitFresh(p *process, s *submission) {
-	r := &request{submission: s, entry: p, deadline: p.now(w).Add(s.timeout)}
-	ticket := w.oracle.addRequest(r)
-	j := owner.Job{Submission: s.id, Service: worldService, Team: "team", Deadline: r.deadline}
-	for _, payload := range s.payload {
+func (sim *simulation) submitWithNewID(p *process, s *submission) {
+	r := &request{submission: s, entry: p, deadline: p.now(sim).Add(s.timeout)}
+	ticket := sim.oracle.addRequest(r)
+	j := owner.Job{Submission: s.id, Service: testService, Team: "team", Deadline: r.deadline}
+	for _, payload := range s.payloads {
 		j.Tasks = append(j.Tasks, messenger.TaskSpec{Payload: payload})
 	}
-	p.entry.Request(p.now(w), ticket, coordinator.Request{Kind: coordinator.RequestSubmit, Job: j, NewID: true})
-	w.flush(p)
+	p.entry.Request(p.now(sim), ticket, coordinator.Request{Kind: coordinator.RequestSubmit, Job: j, NewID: true})
+	sim.flush(p)
 }
 
 // pumpUntil delivers everything at once in steps of 25 ms until a condition holds.
 // Unlike until it connects nobody, which is slow with many agents.
-func (w *world) pumpUntil(d time.Duration, done func() bool) bool {
-	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(25 * time.Millisecond) {
-		for _, p := range w.processes() {
-			if p.acts() {
-				w.tick(p)
+func (sim *simulation) deliverUntil(d time.Duration, done func() bool) bool {
+	for end := sim.now.Add(d); sim.now.Before(end); sim.now = sim.now.Add(25 * time.Millisecond) {
+		for _, p := range sim.processes() {
+			if p.active() {
+				sim.tick(p)
 			}
 		}
-		for ends := w.deliverable(); len(ends)+len(w.calls) > 0; ends = w.deliverable() {
+		for ends := sim.deliverable(); len(ends)+len(sim.calls) > 0; ends = sim.deliverable() {
 			for _, e := range ends {
-				w.deliver(e)
+				sim.deliver(e)
 			}
-			for len(w.calls) > 0 {
-				w.runCall(0, 0)
+			for len(sim.calls) > 0 {
+				sim.runCall(0, 0)
 			}
 		}
 		if done() {
@@ -119,46 +119,46 @@
 // again through every entry meanwhile. Every request must be answered complete.
 func TestHandoverAnswersAll(t *testing.T) {
 	const jobs = 60
-	w := newWorld(func(n int) int { return n - 1 }, worldOptions{entries: 3, agents: 6, slots: 8})
-	w.settleUntil(2*time.Second, w.serving)
-	drained := w.entries[0]
-	w.submitMany(jobs, w.entries)
+	sim := newSimulation(func(n int) int { return n - 1 }, simulationOptions{entries: 3, agents: 6, slots: 8})
+	sim.runUntil(2*time.Second, sim.serving)
+	drained := sim.entries[0]
+	sim.submitMany(jobs, sim.entries)
 	drained.leaving = true
-	drained.entry.Drain(w.now)
+	drained.entry.Drain(sim.now)
 	for step := 0; drained.alive && step < 200; step++ {
-		for _, e := range w.deliverable() {
-			w.deliver(e)
+		for _, e := range sim.deliverable() {
+			sim.deliver(e)
 		}
-		w.callSome(2)
-		w.resubmitOne(step%len(w.oracle.submissions), w.others(drained)[step%2])
-		w.now = w.now.Add(2 * time.Millisecond)
-		for _, p := range w.processes() {
-			w.tick(p)
+		sim.runSomeCalls(2)
+		sim.resubmitOne(step%len(sim.oracle.submissions), sim.others(drained)[step%2])
+		sim.now = sim.now.Add(2 * time.Millisecond)
+		for _, p := range sim.processes() {
+			sim.tick(p)
 		}
 	}
-	w.heal()
-	w.oracle.checkEnd()
-	if w.oracle.violation != "" {
-		t.Fatal(w.oracle.violation)
+	sim.heal()
+	sim.oracle.checkEnd()
+	if sim.oracle.violation != "" {
+		t.Fatal(sim.oracle.violation)
 	}
 	if drained.alive {
 		t.Error("the entry did not drain")
 	}
-	complete := w.oracle.outcomes["complete "]
-	t.Logf("%d of %d requests were answered complete", complete, len(w.oracle.requests))
-	if complete != len(w.oracle.requests) {
-		t.Errorf("not every answer is complete:\n%s", table(w.oracle.outcomes))
+	complete := sim.oracle.outcomes["complete "]
+	t.Logf("%d of %d requests were answered complete", complete, len(sim.oracle.requests))
+	if complete != len(sim.oracle.requests) {
+		t.Errorf("not every answer is complete:\n%s", table(sim.oracle.outcomes))
 	}
 }
 
 // submitMany submits jobs through all entries in turn.
-func (w *world) submitMany(n int, entries []*process) {
+func (sim *simulation) submitMany(n int, entries []*process) {
 	for i := range n {
-		s := w.newSubmission(identifier.Partition(i*4), "", 2, 5*time.Second)
-		w.submitTo(entries[i%len(entries)], s, coordinator.RequestSubmit)
+		s := sim.newSubmission(identifier.Partition(i*4), "", 2, 5*time.Second)
+		sim.submitTo(entries[i%len(entries)], s, coordinator.RequestSubmit)
 	}
 }
 
-func (w *world) resubmitOne(i int, p *process) {
-	w.submitTo(p, w.oracle.submissions[i], coordinator.RequestSubmit)
+func (sim *simulation) resubmitOne(i int, p *process) {
+	sim.submitTo(p, sim.oracle.submissions[i], coordinator.RequestSubmit)
 }
