--- a/internal/coordinator/abandon.go
+++ b/internal/coordinator/abandon.go
@@ -9,8 +9,8 @@
 	"sardinelock.dev/sardinelock/internal/owner"
 )
 
-// Abandon records that the caller of a request has gone. A job that nobody waits
-// for any more is cancelled after a while.
+// Abandon records that the caller of a request has disconnected. A job for which no
+// caller waits is cancelled after a grace period.
 func (c *Coordinator) Abandon(now time.Time, ticket uint64) {
 	f := c.requests.forwards[ticket]
 	if f == nil {
@@ -29,8 +29,9 @@
 }
 
 // abandon ends a request that is held here or waits for a job. A held request is
-// dropped: what its job may have started under a former owner is known from records
-// once the partition is active, and the owner cancels it if nobody else asks.
+// dropped. Tasks of its job that a former owner may have started become known from the
+// agents' records when the partition is active; the owner then cancels the job unless
+// another request asks for it.
 func (c *Coordinator) abandon(now time.Time, w owner.Waiter) {
 	if !c.requests.dropHeld(w) {
 		c.owner.Abandon(now, w)
@@ -53,9 +54,9 @@
 	return false
 }
 
-// awaited reports whether a request for a recovered job may still come or is held.
-// Once a partition is active, the requests that wait elsewhere need a moment to
-// arrive: they get the grace time of an abandoned job.
+// mayStillBeRequested reports whether a request for a recovered job may still arrive or
+// is held here. Requests that waited at other entries arrive only some time after a
+// partition has become active, so they get the grace period of an abandoned job.
 func (c *Coordinator) mayStillBeRequested(now time.Time, s identifier.Submission) bool {
 	p := s.Partition()
 	if !c.Owns(p) || !c.leaser.Held(now) || now.Sub(c.recoverer.ActiveSince(p)) < c.limits.Owner.AbandonGrace {
--- a/internal/coordinator/agents.go
+++ b/internal/coordinator/agents.go
@@ -12,30 +12,31 @@
 	"sardinelock.dev/sardinelock/internal/registrar"
 )
 
-// agentLink is what the coordinator keeps for a connected agent.
+// agentLink is the state of a connected agent.
 type agentLink struct {
 	peer             messenger.Peer
 	member           registrar.Member
-	pending          *messenger.Frame // frame gathers what goes out at the next Take.
-	unsent           *unsentFrames    // gathered lists the links that have a frame.
+	pending          *messenger.Frame // The frame for the next Take; nil if nothing is queued.
+	unsent           *unsentFrames    // Shared by all links: those with a pending frame.
 	settlements      []messenger.Settlement
-	admitted         bool                // admitted means that the agent was told that it is in the roster.
-	expelled         bool                // expelled means that the agent was told that it was declared dead.
-	capacity         *messenger.Capacity // capacity is the latest one; nil until the agent sent one.
-	credit           *messenger.Credit   // credit is the latest one; nil until the agent sent one.
+	admitted         bool                // Set once an Admit was sent, until the agent is expelled.
+	expelled         bool                // Set once an Expel was sent.
+	capacity         *messenger.Capacity // The latest one received; nil before the first.
+	credit           *messenger.Credit   // The latest one received; nil before the first.
 	lastPing         uint64
-	outstandingPings []sentPing    // pings are those without an echo, oldest first.
-	agentClock       time.Duration // clock is the agent's clock in its latest message.
-	agentClockAt     time.Time     // clockAt is when that message arrived.
+	outstandingPings []sentPing    // Pings without an echo, oldest first.
+	agentClock       time.Duration // The agent's monotonic clock in its latest contact.
+	agentClockAt     time.Time     // Local time at which that contact arrived.
 }
 
-// sentPing is when a ping was sent.
+// sentPing records the time at which a ping was sent.
 type sentPing struct {
 	number uint64
 	at     time.Time
 }
 
-// gather returns the frame that gathers what goes to the agent.
+// pendingFrame returns the frame for the agent that the next Take sends, creating it if
+// there is none.
 func (a *agentLink) pendingFrame() *messenger.Frame {
 	if a.pending == nil {
 		a.pending = &messenger.Frame{}
@@ -44,13 +45,13 @@
 	return a.pending
 }
 
-// gathered lists the agents that a frame waits for, so that a flush does not look
-// at every agent.
+// unsentFrames lists the agents with a pending frame, so that flushing does not visit
+// every agent.
 type unsentFrames struct {
 	links []*agentLink
 }
 
-// take returns the links in the order of their names and clears the list.
+// takeSorted returns the links sorted by peer name and clears the list.
 func (g *unsentFrames) takeSorted() []*agentLink {
 	out := g.links
 	g.links = nil
@@ -58,12 +59,14 @@
 	return out
 }
 
-// settle lets a settlement ride on the next frame, without causing one.
+// queueSettlement adds a settlement to the next frame without causing a frame to be
+// sent.
 func (a *agentLink) queueSettlement(s identifier.Submission) {
 	a.settlements = append(a.settlements, messenger.Settlement{Submission: s})
 }
 
-// echo returns when the echoed ping was sent; false if it is not known.
+// takePing returns when the echoed ping was sent, and forgets it and all older pings.
+// It returns false if the ping is not outstanding.
 func (a *agentLink) takePing(number uint64) (time.Time, bool) {
 	for i := len(a.outstandingPings) - 1; i >= 0; i-- {
 		if a.outstandingPings[i].number == number {
@@ -113,7 +116,7 @@
 	c.placer.AgentDown(now, peer)
 }
 
-// admit tells an agent that it is in the roster, and lets the placer use it.
+// admit tells an agent that it is in the roster and makes it available to the placer.
 func (c *Coordinator) admit(now time.Time, a *agentLink) {
 	roster := c.registrar.Roster(c.self.Region)
 	if a.admitted || !c.rules.Enrolled(roster.HasMember(a.peer)) {
@@ -138,8 +141,8 @@
 	}
 }
 
-// expel tells a connected agent that an operator has declared it dead, and gives it
-// no more work. Its records are still welcome.
+// expel tells a connected agent that an operator has declared it dead, and sends it no
+// more work. Its records are still accepted.
 func (c *Coordinator) expel(now time.Time, a *agentLink) {
 	if a == nil || a.expelled {
 		return
@@ -152,9 +155,10 @@
 	}
 }
 
-// fence sends an agent the epochs of partitions that this entry owns. An agent
-// whose records are awaited gives all of them, any other only what is unsettled.
-// What goes out at one time is one fence, which the agent answers as a whole.
+// fence sends an agent the epochs of partitions that this entry owns. An agent whose
+// records are still missing here sends all of them in reply; any other sends only
+// unsettled ones. All partitions that go out in one frame form one fence, which the
+// agent answers as a whole.
 func (c *Coordinator) fence(a *agentLink, partitions []messenger.PartitionEpoch) {
 	if len(partitions) == 0 {
 		return
@@ -171,9 +175,9 @@
 	f.Fence.UnsettledOnly = f.Fence.UnsettledOnly && !c.recoverer.AwaitsRecords(a.peer)
 }
 
-// fenceAll sends every agent the epochs of partitions. Only those that are gained
-// or resumed are sent: a fence makes an agent refuse the starts of its partitions
-// that wait there.
+// fenceAll sends every agent the epochs of partitions. Callers pass only partitions
+// that were gained or resumed, because a fence makes an agent refuse the starts of its
+// partitions that are queued there.
 func (c *Coordinator) fenceAll(partitions []messenger.PartitionEpoch) {
 	for _, peer := range c.agentOrder {
 		c.fence(c.agents[peer], partitions)
@@ -209,8 +213,8 @@
 	}
 }
 
-// receiveContact applies the epochs that an agent has raised before it counts
-// the agent's answer: an answer from an agent that knows a higher epoch of a
+// receiveContact applies the epochs that an agent has raised before it counts the echo
+// as a confirmation of the lease: an echo from an agent that knows a higher epoch of a
 // partition proves nothing for that partition.
 func (c *Coordinator) receiveContact(now time.Time, a *agentLink, m *messenger.Contact) {
 	a.agentClock = m.Clock
@@ -233,8 +237,9 @@
 		}
 		c.observeEpoch(now, f.Partition, f.Epoch)
 		if f.Epoch != c.recoverer.Epoch(f.Partition) || c.recoverer.Phase(f.Partition) == recoverer.PhaseStopped {
-			// What is being handed over is known from its export alone: a job made
-			// from records would hide it when the partition is resumed.
+			// The state of a partition in handover comes from its export alone: a job
+			// created from records would hide the exported one if the partition is
+			// resumed.
 			continue
 		}
 		for _, record := range f.Records {
@@ -261,12 +266,12 @@
 	c.owner.Result(now, a.peer, r)
 }
 
-// receiveCancelAck frees the places of tasks that will not start any more.
+// receiveCancelAck releases the slots of tasks that will not start.
 func (c *Coordinator) receiveCancelAck(now time.Time, a *agentLink, ack *messenger.CancelAck) {
 	c.placer.Cancelled(now, a.peer, ack.Submission, ack.Started)
 }
 
-// pingWitnesses asks the witnesses whose answers grow old.
+// pingWitnesses sends a ping to each witness whose confirmation needs to be renewed.
 func (c *Coordinator) pingWitnesses(now time.Time) {
 	for _, w := range c.leaser.Due(now) {
 		if a := c.agents[w]; a != nil {
@@ -275,7 +280,7 @@
 	}
 }
 
-// flushAgents sends the gathered frames. Every frame is also a ping.
+// flushAgents sends the pending frames. Every frame is also a ping.
 func (c *Coordinator) flushAgents(now time.Time) {
 	for _, a := range c.unsent.takeSorted() {
 		peer := a.peer
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkTickAtRest measures what a tick of an entry takes while nothing happens
-// but the pings, by the numbers of entries and agents.
+// BenchmarkIdleTick measures a tick of an entry while nothing but pings is exchanged,
+// for several numbers of entries and agents.
 func BenchmarkIdleTick(b *testing.B) {
 	for _, size := range []simulationOptions{
 		{entries: 1, agents: 15}, {entries: 1, agents: 900}, {entries: 20, agents: 15},
--- a/internal/coordinator/recordtransfer_test.go
+++ b/internal/coordinator/bequest_test.go
@@ -10,8 +10,8 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// replace lets an agent leave in good order; another takes its seat. It reports
-// whether another agent has its records.
+// replaceAgent shuts an agent down in an orderly way and starts another at its index.
+// It reports whether a successor has the agent's records.
 func (sim *simulation) replaceAgent(index int) bool {
 	p := sim.agents[index]
 	p.leaving = true
@@ -29,9 +29,9 @@
 	return transferred
 }
 
-// TestReplacedAgentsLeaveNothingUnknown replaces all agents in good order, one after
-// the other, and then lets an owner die. What ran before must be known, and what did
-// not must be said not to have run.
+// TestReplacedAgentsLeaveNothingUnknown replaces all agents one after the other by
+// orderly shutdowns and then kills an owner. The new owner must know from the
+// successors what ran before, and must answer not-run for what did not run.
 func TestReplacedAgentsLeaveNothingUnknown(t *testing.T) {
 	sim := newSimulation(func(n int) int { return n - 1 }, simulationOptions{entries: 3, agents: 4, slots: 8})
 	sim.runUntil(2*time.Second, sim.serving)
@@ -49,7 +49,7 @@
 	}
 	for index := range sim.agents {
 		if !sim.replaceAgent(index) {
-			t.Fatalf("agent %d found no heir", index)
+			t.Fatalf("agent %d found no successor", index)
 		}
 	}
 	if age := sim.now.Sub(ran.id.Time()); age >= testWindow {
@@ -58,17 +58,17 @@
 	sim.kill(owner)
 	sim.entries[0].paused = true
 	if !sim.stepUntil(4*time.Second, func() bool { return sim.ownerOf(p, sim.entries[1:]) != nil }) {
-		t.Fatal("nobody takes the partition over")
+		t.Fatal("no entry takes the partition over")
 	}
 	sim.runFor(300 * time.Millisecond)
 	newOwner := sim.ownerOf(p, sim.entries[1:])
 	if missing := newOwner.entry.Partitions(newOwner.now(sim))[p].Missing; len(missing) > 0 {
-		t.Errorf("the new owner misses the records of %v", missing)
+		t.Errorf("the new owner lacks the records of %v", missing)
 	}
 	sim.submitTo(newOwner, ran, coordinator.RequestSubmit)
 	sim.submitTo(newOwner, neverRun, coordinator.RequestSubmit)
 	sim.runFor(time.Second)
-	// The world's agents keep no result that its owner has.
+	// The simulated agents drop results that the owner has received.
 	if sim.oracle.outcomes["unknown answer-lost"] != 1 || sim.oracle.outcomes["not-run owner-changed"] != 1 {
 		t.Errorf("want one answer-lost and one not-run, got\n%s", table(sim.oracle.outcomes))
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestHistoriesWithReplacedAgents lets agents leave in good order in the midst of
-// seeded histories: some end when another has their records, some before.
+// TestHistoriesWithReplacedAgents shuts agents down in an orderly way during seeded
+// histories. Some terminate after a successor has their records, some before.
 func TestHistoriesWithReplacedAgents(t *testing.T) {
 	t.Parallel()
 	const histories = 300
@@ -89,13 +89,13 @@
 		}
 		return left
 	})
-	t.Logf("%d agents left with an heir in %d histories", transferred, histories)
+	t.Logf("%d agents terminated with a successor in %d histories", transferred, histories)
 	if transferred < histories/4 {
-		t.Errorf("only %d agents left with an heir", transferred)
+		t.Errorf("only %d agents terminated with a successor", transferred)
 	}
 }
 
-// takeOverAndAsk kills an entry and submits again what ran before.
+// killEntryAndResubmit kills an entry and resubmits earlier submissions.
 func (sim *simulation) killEntryAndResubmit(random *rand.Rand) {
 	sim.kill(sim.entries[random.IntN(len(sim.entries))])
 	sim.runFor(time.Second)
@@ -105,8 +105,8 @@
 	sim.runFor(100 * time.Millisecond)
 }
 
-// leaveForGood lets agents that leave pass on their records, and ends those that have.
-// It returns the number of those that found an heir.
+// shutDownSomeAgents lets leaving agents transfer their records and terminates some
+// that have finished. It returns the number of terminated agents that had a successor.
 func (sim *simulation) shutDownSomeAgents(random *rand.Rand) int {
 	count := 0
 	for _, p := range sim.agents {
--- a/internal/coordinator/recordtransfer.go
+++ b/internal/coordinator/bequests.go
@@ -12,19 +12,21 @@
 	"sardinelock.dev/sardinelock/internal/storer"
 )
 
-// bequest is the passing of the records of an agent that leaves to its heir. When the
-// heir has all pieces, the roster is written: the agent is no member any more, and who
-// asks the heir needs not ask it. An agent that ends before that takes its records along,
-// as one that dies does.
+// recordTransfer is the transfer of the records of an agent that shuts down to its
+// successor. When the successor has all pieces, the roster is written: the agent is
+// then no longer a member, and a new owner that asks the successor for its records need
+// not ask the agent. If the agent terminates earlier, its records are lost as in a
+// crash.
 type recordTransfer struct {
 	successor       messenger.Peer
 	attempt         int
-	piecesForwarded int  // pieces is the number of pieces that were passed on.
-	lastForwarded   bool // last means that the last piece was passed on.
-	stored          bool // stored means that the heir has all.
+	piecesForwarded int
+	lastForwarded   bool // The last piece was among them.
+	stored          bool // The successor has confirmed all pieces.
 }
 
-// receiveBequest passes a piece on. The first one chooses the heir.
+// receiveRecordTransfer forwards a piece to the successor. The first piece chooses the
+// successor.
 func (c *Coordinator) receiveRecordTransfer(a *agentLink, m messenger.RecordTransfer) {
 	b := c.recordTransfers[a.peer]
 	if m.Piece == 0 {
@@ -46,9 +48,9 @@
 	f.RecordTransfers = append(f.RecordTransfers, m)
 }
 
-// chooseHeir returns the member that an agent's records go to; empty if there is none.
-// It is one that does not leave, and another for each agent, so that no heir gets the
-// records of many.
+// chooseSuccessor returns the member to which an agent's records are transferred; empty
+// if there is none. It is not shutting down itself. Rendezvous hashing spreads the
+// agents over successors, so that no successor receives the records of many.
 func (c *Coordinator) chooseSuccessor(agent messenger.Peer) messenger.Peer {
 	roster := c.registrar.Roster(c.self.Region)
 	var successor messenger.Peer
@@ -66,7 +68,8 @@
 	return successor
 }
 
-// receiveBequeathed applies what an heir says, and asks the agent for the next piece.
+// receiveRecordTransferStatus applies a successor's reply and asks the agent for the
+// next piece.
 func (c *Coordinator) receiveRecordTransferStatus(now time.Time, from *agentLink, m *messenger.RecordTransferStatus) {
 	b := c.recordTransfers[m.Agent]
 	if b == nil || b.successor != from.peer || b.attempt != m.Attempt {
@@ -84,13 +87,13 @@
 	}
 }
 
-// refuseBequest ends a bequest without an heir.
+// refuseRecordTransfer ends a transfer that has no usable successor.
 func (c *Coordinator) refuseRecordTransfer(agent messenger.Peer) {
 	c.sendRecordTransferStatus(agent, messenger.RecordTransferStatus{Refused: true})
 	delete(c.recordTransfers, agent)
 }
 
-// answerBequest tells an agent how far its bequest has come.
+// sendRecordTransferStatus tells an agent the progress of its transfer.
 func (c *Coordinator) sendRecordTransferStatus(agent messenger.Peer, m messenger.RecordTransferStatus) {
 	a, b := c.agents[agent], c.recordTransfers[agent]
 	if a == nil || b == nil {
@@ -102,7 +105,8 @@
 	f.RecordTransferStatuses = append(f.RecordTransferStatuses, m)
 }
 
-// bequestWrite returns the write of the roster for a bequest whose heir has all.
+// recordTransferWrite returns the roster write for a transfer whose successor has all
+// pieces.
 func (c *Coordinator) recordTransferWrite() (storer.Transaction, bool) {
 	if len(c.recordTransfers) == 0 {
 		return storer.Transaction{}, false
@@ -123,7 +127,8 @@
 	return storer.Transaction{}, false
 }
 
-// checkBequests tells the agents whose heirs are in the roster that they may end.
+// checkRecordTransfers tells the agents whose successors are in the roster that they
+// may terminate.
 func (c *Coordinator) checkRecordTransfers() {
 	if len(c.recordTransfers) == 0 {
 		return
@@ -142,7 +147,8 @@
 	}
 }
 
-// bequestsAgentDown ends the bequest of an agent that is gone, and those to it.
+// recordTransfersAgentDown ends the transfers from and to an agent that has
+// disconnected.
 func (c *Coordinator) recordTransfersAgentDown(peer messenger.Peer) {
 	delete(c.recordTransfers, peer)
 	for _, agent := range slices.Clone(c.agentOrder) {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,12 +1,12 @@
-// Package coordinator is the whole decision of an entry, without its I/O.
+// Package coordinator implements all decisions of an entry, without its I/O.
 //
-// It joins the controllers of an entry: the registrar knows the rows that entries
-// share, the recoverer says which partitions are active here, the leaser says
-// whether anything may be started now, the owner keeps the jobs, and the placer
-// says which task goes where. Events come in with a time: requests, frames from
-// peers, outcomes of calls of the platform, and ticks. What is to be done is
-// collected until [Coordinator.Take]. The control thread of an entry drives it in
-// production; in tests a scheduler with virtual time does.
+// It joins the controllers of an entry: the registrar holds the table rows that the
+// entries share, the recoverer tracks which partitions are active here, the leaser
+// tells whether tasks may be started now, the owner holds the jobs, and the placer
+// assigns tasks to agents. Events arrive with a time: requests, frames from peers,
+// results of platform calls, and ticks. The resulting actions are collected until
+// [Coordinator.Take]. In production the control thread of an entry drives the
+// coordinator; in tests a scheduler with virtual time does.
 package coordinator
 
 import (
@@ -36,25 +36,25 @@
 	Answer *messenger.Answer
 }
 
-// Output is what the entry has to do.
+// Output lists the actions that the entry has to carry out.
 type Output struct {
 	Sends   []Send
 	Answers []TicketAnswer
 	Reads   []registrar.Read
 	Writes  []registrar.Write
-	// RoutesChanged says that owners or entries differ from before.
+	// RoutesChanged reports that owners or entries have changed.
 	RoutesChanged bool
-	// Waits are those of jobs of which a first task is sent.
+	// QueueTimes has one element for each job whose first task is sent.
 	QueueTimes []QueueTime
 }
 
 // Coordinator is the control state of one entry.
 type Coordinator struct {
-	self    registrar.Entry // self is what the entry's row should say.
+	self    registrar.Entry // The desired content of the entry's own row.
 	limits  Limits
 	rules   Rules
-	started time.Time // started is the time of the first tick.
-	now     time.Time // now is the time of the event that is being applied.
+	started time.Time // Time of the first tick.
+	now     time.Time // Time of the event that is being applied.
 
 	registrar *registrar.Registrar
 	leaser    *leaser.Leaser
@@ -63,29 +63,34 @@
 	placer    *placer.Placer
 
 	agents     map[messenger.Peer]*agentLink
-	agentOrder []messenger.Peer // agentOrder has the connected agents, sorted.
+	agentOrder []messenger.Peer // The connected agents, sorted.
 	entries    map[messenger.Peer]*entryLink
-	entryOrder []messenger.Peer // entryOrder has the connected entries, sorted.
-	// away has the time since which members of the roster are out of reach.
+	entryOrder []messenger.Peer // The connected entries, sorted.
+	// disconnectedSince has the roster members without a connection, and since when
+	// they have had none.
 	disconnectedSince map[messenger.Peer]time.Time
-	// sighted has the time at which each entry's row was first seen.
+	// unreachableSince has, for each entry in the table, the time from which it counts
+	// as unreachable while it is not connected: when its row was first read, when its
+	// connection ended, or the end of a pause of this process.
 	unreachableSince map[messenger.Peer]time.Time
-	// highest has the highest epoch of each partition that any source reported.
+	// highestEpoch has the highest epoch of each partition that any source has
+	// reported.
 	highestEpoch [identifier.Partitions]uint64
-	// superseded has when each partition was last taken over from this entry.
+	// takenOverAt has the time at which another entry last took each partition over
+	// from this one.
 	takenOverAt [identifier.Partitions]time.Time
 
 	requests        requests
-	recordTransfers map[messenger.Peer]*recordTransfer // bequests has those of agents that leave through this entry.
+	recordTransfers map[messenger.Peer]*recordTransfer // By the agent that shuts down.
 	handovers       handovers
 	draining        bool
-	partitionsLost  bool // disowned means that a partition was lost or stopped since the last Take.
+	partitionsLost  bool // A partition was lost or stopped since the last Take.
 	entriesPingedAt time.Time
-	rosterCheck     periodicCheck           // rosterPace is that of the comparison of the roster with the agents.
-	ownersCheck     periodicCheck           // ownersPace is that of the comparison of owners with live entries.
-	preferredOwners claimer.PreferredOwners // wanted has the owners that the live entries should be.
-	unsent          unsentFrames            // gathered has the agents that a frame waits for.
-	paths           map[string]string       // paths has the HTTP path of each service at its upstreams.
+	rosterCheck     periodicCheck           // Comparison of the roster with the connected agents.
+	ownersCheck     periodicCheck           // Comparison of the owners with the live entries.
+	preferredOwners claimer.PreferredOwners // The owner that each partition should have among the live entries.
+	unsent          unsentFrames            // The agents with a pending frame.
+	paths           map[string]string       // HTTP path of each service at its upstreams.
 	out             Output
 }
 
@@ -115,7 +120,7 @@
 	return c
 }
 
-// withDefaults fills in what may be left out.
+// withDefaults sets the fields that are zero to their defaults.
 func (l Limits) withDefaults(region string) Limits {
 	if len(l.Regions) == 0 {
 		l.Regions = []string{region}
@@ -173,13 +178,13 @@
 	c.applyRows(now)
 }
 
-// Drain makes the entry hand over its partitions and take none, until Undrain.
-// Drained reports when it is done. What no other entry may take stays and is
-// served. Requests that reach the entry are passed on to the owners.
+// Drain makes the entry hand over its partitions and accept none until Undrain. Drained
+// reports when it has finished. Partitions that no other entry can take stay here and
+// are served. Requests that reach the entry are forwarded to the owners.
 func (c *Coordinator) Drain(now time.Time) { c.setDraining(now, true) }
 
-// Undrain lets the entry own partitions again. The others hand over those that it
-// should own; a handover that it has begun itself is completed first.
+// Undrain lets the entry own partitions again. The other entries hand over those that
+// it should own. A handover that this entry has already started is completed first.
 func (c *Coordinator) Undrain(now time.Time) { c.setDraining(now, false) }
 
 func (c *Coordinator) setDraining(now time.Time, draining bool) {
@@ -193,8 +198,8 @@
 	c.propose(now)
 }
 
-// Drained reports whether the entry has no requests and, as far as another entry
-// could take them, no partitions.
+// Drained reports whether the entry has no pending requests and no partitions that
+// another entry could take.
 func (c *Coordinator) Drained(now time.Time) bool {
 	if c.requests.waiting() > 0 {
 		return false
@@ -222,8 +227,8 @@
 	c.propose(now)
 }
 
-// Take runs the controllers on what has happened, returns what is to be done and
-// clears it.
+// Take runs the controllers on the events since the last call, and returns and clears
+// the collected actions.
 func (c *Coordinator) Take(now time.Time) Output {
 	c.beginEvent(now)
 	c.releaseLostTasks(now)
--- a/internal/coordinator/declared_test.go
+++ b/internal/coordinator/declared_test.go
@@ -16,7 +16,7 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// roster returns the roster as the table has it.
+// roster returns the roster in the table.
 func (sim *simulation) roster() registrar.RegionRoster {
 	rosters := registrar.ReadRosters(sim.store.Read(registrar.RosterPrefix))
 	if len(rosters) == 0 {
@@ -25,12 +25,12 @@
 	return rosters[0]
 }
 
-// declare writes the roster as an operator's declaration does.
+// declare writes the roster as a declaration by an operator does.
 func (sim *simulation) declare(dead ...messenger.Peer) {
 	current := sim.roster()
 	next, unknown := enroller.Declare(current.Roster, dead, sim.now)
 	if len(unknown) > 0 {
-		sim.oracle.fail("the roster does not know %v", unknown)
+		sim.oracle.fail("not in the roster: %v", unknown)
 	}
 	sim.logf("an operator declares %v dead", dead)
 	sim.store.Write(storer.Transaction{
@@ -40,7 +40,7 @@
 	})
 }
 
-// stuckJob is a job whose owner died together with a majority of the witnesses.
+// stuckJob is a job whose owner was killed together with a majority of the witnesses.
 type stuckJob struct {
 	takeoverJob
 	dead []messenger.Peer
@@ -75,19 +75,19 @@
 
 func (j *stuckJob) active() bool { return j.sim.ownerOf(j.partition, j.sim.entries[1:]) != nil }
 
-// TestMajorityOfWitnessesDead lets an owner and a majority of the witnesses die.
-// Their partitions must wait for an operator's declaration, become active a lease
-// after it, and say unknown of what only the dead knew.
+// TestMajorityOfWitnessesDead kills an owner and a majority of the witnesses. The
+// partitions of the owner must wait for a declaration by an operator, become active one
+// lease duration after it, and answer unknown for what only the dead agents know.
 func TestMajorityOfWitnessesDead(t *testing.T) {
 	j := newStuckJob(t)
 	sim := j.sim
-	neverSubmitted := sim.newSubmission(j.partition, "", 1, time.Second) // It was never submitted; nobody can tell.
+	neverSubmitted := sim.newSubmission(j.partition, "", 1, time.Second) // Never submitted; only the dead agents could prove it.
 	if sim.runUntil(4*time.Second, j.active); j.active() {
 		t.Fatal("the partition is active without a majority of the witnesses")
 	}
 	sim.declare(j.dead[0])
 	if sim.runUntil(4*time.Second, j.active); j.active() {
-		t.Fatal("the partition is active while a witness may have been heard by the former owner")
+		t.Fatal("the partition is active while the former owner may still have a confirmation by a witness")
 	}
 	sim.declare(j.dead[1:]...)
 	declared := sim.now
@@ -111,7 +111,7 @@
 	}
 }
 
-// outcome submits a submission to the owner and returns its answer.
+// outcome submits a submission to the new owner and returns its outcome.
 func (j *stuckJob) outcome(s *submission) submitter.Outcome {
 	ticket := len(j.sim.oracle.requests)
 	j.sim.submitTo(j.sim.ownerOf(j.partition, j.sim.entries[1:]), s, coordinator.RequestSubmit)
@@ -119,8 +119,8 @@
 	return submitter.Outcome(j.sim.oracle.requests[ticket].answer)
 }
 
-// TestFencingTellsWhatItWaitsFor checks what operators see of a partition that
-// waits for a declaration.
+// TestFencingReportsAwaitedAgents checks the status that operators see of a partition
+// that waits for a declaration.
 func TestFencingReportsAwaitedAgents(t *testing.T) {
 	j := newStuckJob(t)
 	j.sim.runFor(2 * time.Second)
@@ -144,8 +144,9 @@
 	}
 }
 
-// TestDeclaredDeadButCutOff declares an agent dead that lives and is cut off
-// together with its owner. It must start nothing once it is back, and be no member.
+// TestDeclaredDeadWhileIsolated declares an agent dead that is running but isolated
+// together with its owner. When the network is whole again, the agent must start
+// nothing and must not be a member.
 func TestDeclaredDeadWhileIsolated(t *testing.T) {
 	sim := newSimulation(func(n int) int { return n - 1 }, simulationOptions{entries: 3, agents: 5, slots: 8})
 	sim.runUntil(2*time.Second, sim.serving)
@@ -154,7 +155,7 @@
 	sim.moveToSide(1, alive, old)
 	sim.runFor(600 * time.Millisecond)
 	sim.declare(alive.peer)
-	// Both sides are asked for the same jobs.
+	// The same jobs are submitted on both sides of the split.
 	for i := range 20 {
 		s := sim.newSubmission(identifier.Partition(i*12), "", 4, time.Second)
 		sim.submitTo(old, s, coordinator.RequestSubmit)
@@ -167,7 +168,7 @@
 		t.Error("the agent does not know that it was declared dead")
 	}
 	if roster := sim.roster(); roster.HasMember(alive.peer) {
-		t.Error("an agent that was declared dead is a member again")
+		t.Error("an agent that was declared dead has become a member again")
 	}
 	if sim.oracle.violation != "" {
 		t.Error(sim.oracle.violation)
@@ -177,9 +178,9 @@
 // declaredHistories is the number of histories with declarations in CI.
 const declaredHistories = 400
 
-// TestHistoriesWithDeclarations lets an operator declare agents dead in the midst
-// of seeded histories: any that are, and at times one that lives, so long as no
-// majority of witnesses is declared that does.
+// TestHistoriesWithDeclarations declares agents dead during seeded histories: any that
+// have terminated, and sometimes one that is running, but never a majority of the
+// witnesses while they are running.
 func TestHistoriesWithDeclarations(t *testing.T) {
 	t.Parallel()
 	declarations := runHistoriesWith(t, declaredHistories, 11, 3, func(sim *simulation, random *rand.Rand) int {
@@ -194,8 +195,8 @@
 	}
 }
 
-// declareSome declares the dead agents of the roster, or a witness that lives if no
-// other was declared. It reports whether there was one.
+// declareSome declares the terminated agents of the roster dead, or a running witness
+// if no other agent was declared. It reports whether it declared any.
 func (sim *simulation) declareSome(random *rand.Rand) bool {
 	roster := sim.roster()
 	var dead []messenger.Peer
--- a/internal/coordinator/directed_test.go
+++ b/internal/coordinator/directed_test.go
@@ -9,8 +9,8 @@
 	"sardinelock.dev/sardinelock/internal/identifier"
 )
 
-// runDirected lets a history happen in a world whose scheduler always makes the
-// last choice: of what is under way on a broken connection everything arrives.
+// runDirected runs a history in a simulation whose scheduler always makes the last
+// choice, so that all messages in flight on a broken connection arrive.
 func runDirected(o simulationOptions, directed func(*simulation)) *simulation {
 	sim := newSimulation(func(n int) int { return n - 1 }, o)
 	sim.trace = new(strings.Builder)
@@ -23,7 +23,7 @@
 	return sim
 }
 
-// newSubmission adds a submission that is made now in a partition.
+// newSubmission adds a submission to a partition, with an id of the current time.
 func (sim *simulation) newSubmission(p identifier.Partition, key string, tasks int, timeout time.Duration) *submission {
 	s := &submission{key: key, timeout: timeout}
 	s.id = sim.newID(sim.now, func(x identifier.Partition) bool { return x == p })
@@ -34,7 +34,7 @@
 	return s
 }
 
-// ownerOf returns the entry that takes the requests of a partition; nil if none does.
+// ownerOf returns the entry that accepts the requests of a partition; nil if none does.
 func (sim *simulation) ownerOf(p identifier.Partition, among []*process) *process {
 	for _, e := range among {
 		if e.entry.Owns(p) {
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// split moves processes to another side of the network. Nobody notices but by the
-// silence of the others.
+// moveToSide moves processes to another side of the network. Connections between sides
+// deliver nothing, and neither end is notified.
 func (sim *simulation) moveToSide(side int, ps ...*process) {
 	for _, p := range ps {
 		p.side = side
@@ -55,7 +55,7 @@
 	}
 }
 
-// until lets the world go on in small steps until a condition holds.
+// stepUntil advances the simulation in small steps until a condition holds.
 func (sim *simulation) stepUntil(d time.Duration, done func() bool) bool {
 	const step = 5 * time.Millisecond
 	for end := sim.now.Add(d); sim.now.Before(end); {
@@ -73,32 +73,32 @@
 	return false
 }
 
-// splitOwner cuts the owner of a partition and one agent off from all others. When
-// another entry has taken over and some more time has passed, a new submission
-// reaches both.
+// isolateOwner isolates the owner of a partition and one agent from all other
+// processes. Some time after another entry has taken over, the same new submission
+// reaches both owners.
 func isolateOwner(sim *simulation, after time.Duration) {
 	old := sim.entries[0]
 	var p identifier.Partition
 	for !old.entry.Owns(p) {
 		p++
 	}
-	// The owner has heard every witness just now.
+	// Wait until the owner has a recent confirmation by every witness.
 	sim.stepUntil(200*time.Millisecond, func() bool { return old.entry.Lease(sim.now).Remaining > testLease*9/10 })
 	sim.moveToSide(1, old, sim.agents[0])
 	if !sim.stepUntil(3*time.Second, func() bool { return sim.ownerOf(p, sim.entries[1:]) != nil }) {
 		return
 	}
 	sim.stepUntil(after, func() bool { return false })
-	// More tasks than either has credits at agents that do not answer, so that both
-	// place some of the same at those that do.
+	// The submission has more tasks than either owner has credits at unreachable
+	// agents, so that both assign some of the same tasks to reachable ones.
 	s := sim.newSubmission(p, "", 80, time.Second)
 	sim.submitTo(old, s, coordinator.RequestSubmit)
 	sim.submitTo(sim.ownerOf(p, sim.entries[1:]), s, coordinator.RequestSubmit)
 	sim.stepUntil(time.Second, func() bool { return sim.oracle.violation != "" })
 }
 
-// lateStart leaves a start in the socket buffer of a paused agent until the window
-// has passed and another submission has the request key.
+// lateStart leaves a start in the socket buffer of a paused agent until the window has
+// passed and another submission has used the request key.
 func lateStart(sim *simulation) {
 	const key = "plate"
 	p := identifier.KeyPartition(key)
@@ -118,7 +118,7 @@
 	sim.runFor(time.Second)
 }
 
-// block breaks the connection of two processes and keeps them from another.
+// block breaks the connection of two processes and prevents new ones between them.
 func (sim *simulation) block(a, b *process) {
 	before := sim.blocked
 	sim.blocked = func(x, y *process) bool {
@@ -132,8 +132,8 @@
 	sim.quiesce()
 }
 
-// lostClaim lets two entries that cannot hear each other claim the partitions of a
-// dead one. The write of the first has no answer and no effect.
+// lostClaim makes two entries that are not connected to each other claim the partitions
+// of a dead one. The write of the first is lost without an answer.
 func lostClaim(sim *simulation) {
 	dead, outdated, owner := sim.entries[0], sim.entries[1], sim.entries[2]
 	var p identifier.Partition
@@ -143,7 +143,7 @@
 	sim.kill(dead)
 	sim.entries[0].paused = true
 	sim.block(outdated, owner)
-	// After its claim is lost, the platform answers the deluded entry no more.
+	// After the claim is lost, the platform no longer answers the outdated entry.
 	sim.losesCall = func(c *storeCall) bool {
 		if c.from != outdated || c.write == nil || len(c.write.Transaction.Puts) < 2 {
 			return false
@@ -161,8 +161,8 @@
 	sim.stepUntil(time.Second, func() bool { return sim.oracle.violation != "" })
 }
 
-// notRunAgain submits a job that no upstream can run, and submits it again when
-// the upstreams are back.
+// resubmitNotRun submits a job that no upstream can run, and submits it again when the
+// upstreams are back.
 func resubmitNotRun(sim *simulation) {
 	sim.setAllLeaving(true)
 	s := sim.newSubmission(0, "", 1, 200*time.Millisecond)
@@ -173,7 +173,7 @@
 	sim.runFor(time.Second)
 }
 
-// leave lets all upstreams leave or come back.
+// setAllLeaving makes all upstreams leave or come back.
 func (sim *simulation) setAllLeaving(leaving bool) {
 	for _, p := range sim.agents {
 		p.leaving = leaving
@@ -183,8 +183,8 @@
 	sim.runFor(200 * time.Millisecond)
 }
 
-// missingAgent lets an owner die together with the way to one agent that has
-// started tasks, and submits the job again.
+// unreachableAgent kills an owner and isolates one agent that has started tasks, and
+// submits the job again.
 func unreachableAgent(sim *simulation) {
 	old := sim.ownerOf(0, sim.entries)
 	s := sim.newSubmission(0, "", 6, 3*time.Second)
@@ -202,8 +202,8 @@
 	sim.runFor(4 * time.Second)
 }
 
-// crossedStart delays the starts of an owner until another entry has taken over
-// and has answered that the job did not run.
+// delayedStart delays the starts of an owner until another entry has taken over and has
+// answered that the job did not run.
 func delayedStart(sim *simulation) {
 	old := sim.ownerOf(0, sim.entries)
 	s := sim.newSubmission(0, "", 6, time.Second)
@@ -225,7 +225,7 @@
 	sim.runFor(time.Second)
 }
 
-// others returns the entries but for one.
+// others returns all entries except one.
 func (sim *simulation) others(p *process) []*process {
 	var out []*process
 	for _, e := range sim.entries {
@@ -236,10 +236,10 @@
 	return out
 }
 
-// strangeAgent lets an agent that no roster has reach one owner alone, which has
-// no other agent that takes tasks. The owner dies, and the job is submitted again.
+// unenrolledAgent connects an agent that is in no roster to a single owner, all of
+// whose other agents are leaving. The owner is killed, and the job is submitted again.
 func unenrolledAgent(sim *simulation) {
-	old := sim.entries[1] // The first entry looks after the roster.
+	old := sim.entries[1] // The first entry maintains the roster.
 	var p identifier.Partition
 	for !old.entry.Owns(p) {
 		p++
@@ -260,7 +260,7 @@
 	sim.runFor(2 * time.Second)
 }
 
-// steppedBack runs a job, lets its records expire, steps the wall clocks of the
+// clockSteppedBack runs a job, lets its records expire, steps the wall clocks of the
 // entries back to the time of the job and submits it again.
 func clockSteppedBack(sim *simulation) {
 	const pause = testWindow + 2*time.Second
--- a/internal/coordinator/dispatch.go
+++ b/internal/coordinator/dispatch.go
@@ -10,7 +10,8 @@
 	"sardinelock.dev/sardinelock/internal/placer"
 )
 
-// applyOwner carries out what the owner of the jobs wants done.
+// applyOwner applies the output of the owner of the jobs: answers, requeued tasks,
+// cancellations and settlements.
 func (c *Coordinator) applyOwner(now time.Time) {
 	out := c.owner.Take()
 	for _, a := range out.Answers {
@@ -57,8 +58,8 @@
 	}
 }
 
-// returnPlaces frees the places of tasks that the owner did not let go, because
-// they are known to be at an agent.
+// releaseUnsentTasks releases the slots of tasks that the placer assigned and the owner
+// did not send, because they are known to be at an agent already.
 func (c *Coordinator) releaseUnsentTasks(now time.Time, a placer.Assignment, assigned []uint16) {
 	if len(a.Tasks) == len(assigned) {
 		return
@@ -75,8 +76,8 @@
 	}
 }
 
-// disown frees the places of tasks of partitions that this entry does not run any
-// more: their results go to the new owner.
+// releaseLostTasks releases the slots of tasks whose partitions this entry no longer
+// serves: their results go to the new owner.
 func (c *Coordinator) releaseLostTasks(now time.Time) {
 	if !c.partitionsLost {
 		return
--- a/internal/coordinator/drain_test.go
+++ b/internal/coordinator/drain_test.go
@@ -12,8 +12,8 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// TestUndrain drains an entry with jobs in flight, lets it serve as a way to the
-// others, and undrains it: it must get the same partitions back, and every request
+// TestUndrain drains an entry with jobs in flight, uses it only to forward requests to
+// the others, and undrains it. It must get the same partitions back, and every request
 // must be answered complete.
 func TestUndrain(t *testing.T) {
 	sim := newSimulation(func(n int) int { return n - 1 }, simulationOptions{entries: 3, agents: 6, slots: 8})
@@ -21,7 +21,7 @@
 	p := sim.entries[0]
 	before := p.entry.Owned()
 	if len(before) == 0 {
-		t.Fatal("the entry owns nothing to begin with")
+		t.Fatal("the entry owns no partitions at the start")
 	}
 	sim.submitMany(30, sim.entries)
 	p.entry.Drain(sim.now)
@@ -30,7 +30,7 @@
 	if n := len(p.entry.Owned()); n > 0 {
 		t.Errorf("the drained entry still owns %d partitions", n)
 	}
-	// What reaches the drained entry goes on to the others.
+	// The drained entry forwards requests to the others.
 	sim.submitMany(30, sim.entries[:1])
 	sim.runFor(time.Second)
 	if n := len(p.entry.Owned()); n > 0 {
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestDrainMachine drains and undrains entries in any order among faults. Rules 1
-// to 5 hold after each step, and in the end every partition is where the entries
-// that are not drained want it.
+// TestDrainMachine drains and undrains entries in any order, mixed with faults. Rules 1
+// to 5 hold after each step, and at the end every partition is owned by the entry that
+// is preferred among those that are not drained.
 func TestDrainMachine(t *testing.T) {
 	mustSet(t, "rapid.checks", "60")
 	mustSet(t, "rapid.nofailfile", "true")
@@ -90,7 +90,7 @@
 	})
 }
 
-// drainMachine is a world with the entries that are drained in it.
+// drainMachine is a simulation and the set of its drained entries.
 type drainMachine struct {
 	world   *simulation
 	drained map[*process]bool
@@ -119,15 +119,15 @@
 	sim.flush(p)
 }
 
-// work lets the world go on for some steps without faults.
+// work runs some steps without faults.
 func (m *drainMachine) work() {
 	for range 10 {
 		m.world.step()
 	}
 }
 
-// misplaced says which partition is not where it should be; empty if none is.
-// While every entry is drained, each keeps what nobody else may take.
+// misplacedPartition describes a partition that has the wrong owner; empty if there is
+// none. While every entry is drained, each keeps the partitions that no other may take.
 func (m *drainMachine) misplacedPartition() string {
 	var live []messenger.Peer
 	for _, p := range m.world.entries {
--- a/internal/coordinator/entries.go
+++ b/internal/coordinator/entries.go
@@ -7,7 +7,7 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// entryLink is what the coordinator keeps for a connected entry.
+// entryLink is the state of a connected entry.
 type entryLink struct {
 	peer           messenger.Peer
 	region         string
@@ -16,7 +16,8 @@
 	lastReceivedAt time.Time
 }
 
-// gather returns the frame that gathers what goes to the entry.
+// pendingFrame returns the frame for the entry that the next Take sends, creating it if
+// there is none.
 func (e *entryLink) pendingFrame() *messenger.Frame {
 	if e.pending == nil {
 		e.pending = &messenger.Frame{}
@@ -59,8 +60,8 @@
 	}
 }
 
-// pingEntries tells the other entries that this one lives and which table
-// revision it has seen.
+// pingEntries sends the other entries a heartbeat with the table revision that this
+// entry has seen.
 func (c *Coordinator) pingEntries(now time.Time) {
 	if now.Sub(c.entriesPingedAt) < c.limits.EntryHeartbeatInterval {
 		return
@@ -75,8 +76,9 @@
 	}
 }
 
-// begin notes the time of an event. After a pause of this process the frames of
-// the others may wait unread: their silence until now says nothing about them.
+// beginEvent records the time of an event. After a pause of this process, frames from
+// other entries may be waiting unread, so the time without contact until now is no sign
+// of a failure and is not counted.
 func (c *Coordinator) beginEvent(now time.Time) {
 	paused := !c.now.IsZero() && now.Sub(c.now) >= c.limits.SuspicionTimeout/2
 	c.now = now
@@ -91,14 +93,15 @@
 	}
 }
 
-// responsive reports whether an entry is connected and was heard lately.
+// responsive reports whether an entry is connected and has sent a frame within the
+// suspicion timeout.
 func (c *Coordinator) responsive(now time.Time, peer messenger.Peer) bool {
 	e := c.entries[peer]
 	return e != nil && now.Sub(e.lastReceivedAt) < c.limits.SuspicionTimeout
 }
 
-// suspected reports whether an entry has been out of reach for so long that its
-// partitions should have another owner.
+// suspected reports whether an entry has been unreachable for the suspicion timeout, so
+// that its partitions should get another owner.
 func (c *Coordinator) suspected(now time.Time, peer messenger.Peer) bool {
 	if peer == c.self.Peer || c.responsive(now, peer) {
 		return false
@@ -113,8 +116,8 @@
 	return now.Sub(since) >= c.limits.SuspicionTimeout
 }
 
-// live returns the entries of this region that may own partitions, this one
-// included unless it drains.
+// liveEntries returns the entries of this region that may own partitions, including
+// this one unless it is draining.
 func (c *Coordinator) liveEntries(now time.Time) []messenger.Peer {
 	var out []messenger.Peer
 	for _, row := range c.registrar.Entries() {
@@ -132,7 +135,7 @@
 	return out
 }
 
-// regionSize returns the number of entries of this region that take jobs.
+// regionSize returns the number of entries of this region that accept jobs.
 func (c *Coordinator) regionSize() int {
 	n := 0
 	for _, e := range c.registrar.Entries() {
--- a/internal/coordinator/expiry.go
+++ b/internal/coordinator/expiry.go
@@ -6,20 +6,22 @@
 	"time"
 )
 
-// expiry is when a forwarded request is answered here if no owner has answered.
+// expiry is the time at which a forwarded request is answered here if no owner has
+// answered it.
 type expiry struct {
 	at     time.Time
 	ticket uint64
 }
 
-// expiries is a heap with the earliest expiry first. One whose request was
-// answered meanwhile has no effect.
+// expiries is a heap with the earliest expiry first. An expiry has no effect if its
+// request has been answered in the meantime.
 type expiries []expiry
 
 // Len implements heap.Interface.
 func (e expiries) Len() int { return len(e) }
 
-// Less implements heap.Interface. Tickets break ties, so that histories repeat.
+// Less implements heap.Interface. Tickets break ties, so that simulated histories are
+// reproducible.
 func (e expiries) Less(a, b int) bool {
 	if e[a].at.Equal(e[b].at) {
 		return e[a].ticket < e[b].ticket
@@ -41,13 +43,13 @@
 	return out
 }
 
-// keepOf drops the expiries of requests that are answered.
+// dropAnswered removes the expiries of requests that have been answered.
 func (e *expiries) dropAnswered(forwards map[uint64]*forward) {
 	*e = slices.DeleteFunc(*e, func(x expiry) bool { return forwards[x.ticket] == nil })
 	heap.Init(e)
 }
 
-// expired removes and returns the tickets whose time has come.
+// takeExpired removes and returns the tickets that have expired.
 func (e *expiries) takeExpired(now time.Time) []uint64 {
 	var out []uint64
 	for len(*e) > 0 && !now.Before((*e)[0].at) {
--- a/internal/coordinator/export_test.go
+++ b/internal/coordinator/export_test.go
@@ -2,5 +2,5 @@
 
 import "sardinelock.dev/sardinelock/internal/owner"
 
-// Owner returns the owner of the jobs, whose rules the fuzz replaces.
+// Owner returns the owner of the jobs, so that simulations can replace its rules.
 func (c *Coordinator) Owner() *owner.Owner { return c.owner }
--- a/internal/coordinator/forward.go
+++ b/internal/coordinator/forward.go
@@ -10,20 +10,22 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// movedPause is how long a request that came back waits for newer rows.
+// movedRetryDelay is how long a request that another entry returned as moved waits for
+// newer rows before it is routed again.
 const movedRetryDelay = 50 * time.Millisecond
 
 // forward is a request of this entry for a partition that another entry owns.
 type forward struct {
 	request Request
-	sentTo  messenger.Peer // to is the entry that has the request; empty if none has it.
-	// sent means that some entry had the request at some time.
+	sentTo  messenger.Peer // The entry that has the request now; empty if none has.
+	// everSent is set once any entry was sent the request.
 	everSent bool
-	// notBefore is when the request may be sent again after it came back.
+	// notBefore is the earliest time for sending the request again after it was
+	// returned.
 	notBefore time.Time
 }
 
-// lost records that an entry is not connected any more.
+// entryDown marks the requests at an entry as unrouted after its connection has ended.
 func (r *requests) entryDown(peer messenger.Peer) {
 	for _, f := range r.forwards {
 		if f.sentTo == peer {
@@ -33,7 +35,8 @@
 	}
 }
 
-// moved records that the entry that had a request does not own its partition.
+// returned records that the entry to which a request was sent does not own its
+// partition.
 func (r *requests) returned(now time.Time, ticket uint64) {
 	if f := r.forwards[ticket]; f != nil {
 		f.sentTo = ""
@@ -42,8 +45,9 @@
 	}
 }
 
-// route passes a request on to the owner of its partition. While the owner is not
-// known or not connected, the request waits; one of another region does not.
+// route forwards a request to the owner of its partition. While the owner is unknown or
+// not connected, the request waits; a request for another region is answered at once
+// instead.
 func (c *Coordinator) route(now time.Time, ticket uint64) {
 	f := c.requests.forwards[ticket]
 	if f == nil || f.sentTo != "" || now.Before(f.notBefore) {
@@ -75,7 +79,7 @@
 	f.request.Resent = true
 }
 
-// routeRequests routes every request that no entry has.
+// routeRequests routes every request that is at no entry.
 func (c *Coordinator) routeRequests(now time.Time) {
 	if c.requests.unrouted == 0 {
 		return
@@ -89,7 +93,8 @@
 	}
 }
 
-// passOn makes a request of a partition that is lost wait for the new owner.
+// redirect hands a request for a lost partition on to the new owner: a request of this
+// entry waits to be routed again, and a forwarded one is returned to its sender.
 func (c *Coordinator) redirect(w owner.Waiter, r Request) {
 	if w.Peer == "" {
 		r.Resent = true
@@ -161,7 +166,7 @@
 	return RequestSubmit
 }
 
-// unowned answers a request that no owner answered in time.
+// noOwnerAnswer returns the answer to a request that no owner answered in time.
 func noOwnerAnswer(f *forward) *messenger.Answer {
 	if f.request.NewID && !f.everSent {
 		return &messenger.Answer{
--- a/internal/coordinator/histories_test.go
+++ b/internal/coordinator/fuzz_test.go
@@ -20,14 +20,14 @@
 func TestMain(m *testing.M) { seeder.Main(m) }
 
 var (
-	seedFlag      = flag.Uint64("world.seed", 0, "run the history of this seed alone and print its trace")
-	firstSeedFlag = flag.Uint64("world.first", 1, "seed of the first history; the others count on from it")
+	seedFlag      = flag.Uint64("world.seed", 0, "run only the history of this seed and print its trace")
+	firstSeedFlag = flag.Uint64("world.first", 1, "seed of the first history; the following ones have the next seeds")
 	historiesFlag = flag.Int("world.histories", 1500, "number of seeded histories")
 	stepsFlag     = flag.Int("world.steps", 60, "steps of a seeded history")
 )
 
-// TestHistories lets seeded histories happen and checks rules 1 to 5 after each
-// step. With -world.seed=N it repeats one and prints its trace.
+// TestHistories runs seeded histories and checks rules 1 to 5 after each step. With
+// -world.seed=N it repeats one history and prints its trace.
 func TestHistories(t *testing.T) {
 	if *seedFlag != 0 {
 		sim := runHistory(*seedFlag, *stepsFlag, true)
@@ -60,9 +60,8 @@
 	t.Logf("%d histories, %d steps\n%s", *historiesFlag, steps, table(outcomes))
 }
 
-// sideHistories lets seeded histories happen among few entries and agents, with an
-// event of the test's own after each step, and checks the rules after each. It
-// returns the sum of what the events return.
+// runHistoriesWith runs seeded histories with few entries and agents, calls event after
+// each step, and then checks the rules. It returns the sum of the results of event.
 func runHistoriesWith(t *testing.T, histories, stream uint64, minAgents int, event func(*simulation, *rand.Rand) int) int {
 	t.Helper()
 	const steps = 80
@@ -98,7 +97,7 @@
 	return sim
 }
 
-// history runs the history of a seed.
+// runHistory runs the history of a seed.
 func runHistory(seed uint64, steps int, traced bool) *simulation {
 	random := rand.New(rand.NewPCG(seed, 7))
 	o := drawOptions(random.IntN)
@@ -114,9 +113,9 @@
 	return sim
 }
 
-// TestHistoriesRepeat runs histories twice. They must agree in every line of their
-// traces, so that a seed that is reported shows the same again: nothing that is
-// decided may rest on the order of a map or on a clock.
+// TestHistoriesAreReproducible runs histories twice. Their traces must agree in every
+// line, so that a reported seed reproduces its violation: no decision may depend on the
+// order of a map or on a real clock.
 func TestHistoriesAreReproducible(t *testing.T) {
 	const histories = 40
 	for i := range uint64(histories) {
@@ -130,7 +129,7 @@
 
 func lines(text string) []string { return strings.Split(text, "\n") }
 
-// drawOptions draws the kind of a history: its sizes and how much goes wrong.
+// drawOptions draws the sizes of a history and how many faults it has.
 func drawOptions(pick func(int) int) simulationOptions {
 	return simulationOptions{
 		entries:       1 + pick(3),
@@ -141,7 +140,8 @@
 	}
 }
 
-// TestProperties lets rapid choose, which shrinks a history that breaks a rule.
+// TestProperties lets rapid make the choices, which shrinks a history that violates a
+// rule.
 func TestProperties(t *testing.T) {
 	if testing.Short() {
 		t.Skip("the seeded histories cover the same")
@@ -173,7 +173,7 @@
 	}
 }
 
-// tail returns the last part of a trace; -world.seed prints all of it.
+// tail returns the end of a trace; -world.seed prints all of it.
 func tail(trace string) string {
 	const maxBytes = 20_000
 	return trace[max(0, len(trace)-maxBytes):]
--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -15,36 +15,36 @@
 // maxHandoverPartitions bounds the partitions of one handover.
 const maxHandoverPartitions = 64
 
-// Defaults for the bytes of handovers, both chosen: a piece takes a small part of
-// the time after which a silent entry is suspected, and requests for the stopped
-// partitions wait no longer than a few pieces take.
+// Defaults for the sizes of handovers. Sending a piece takes a small part of the
+// suspicion timeout, and requests for the stopped partitions wait only as long as a few
+// pieces take.
 const (
 	DefaultHandoverBytes      = 4 << 20
 	DefaultHandoverPieceBytes = 1 << 20
 )
 
-// handovers are the one handover that this entry makes and those that are offered
-// to it.
+// handovers holds the one handover that this entry makes and those that are offered to
+// it.
 //
-// The owner stops its partitions, passes their records, and only when the peer
-// has them writes the peer's name into the rows. Until that write was asked for,
-// the owner may go on as if nothing had been. Afterwards it goes on only under a
-// new epoch of its own, written on the same condition, so that a late write of
-// the handover cannot take effect any more.
+// The owner stops its partitions, sends their records, and only when the peer has all
+// of them does it write the peer's name into the rows. Until it has requested that
+// write, the owner may resume as if there had been no handover. Afterwards it resumes
+// only under a new epoch of its own, written on the same condition, so that a delayed
+// write of the handover can no longer take effect.
 type handovers struct {
 	lastNumber uint64
-	outgoing   *outgoing // out is the handover that this entry makes; nil if there is none.
+	outgoing   *outgoing // The handover that this entry makes; nil if there is none.
 	offers     map[string]*offer
 }
 
-// outgoingState is how far a handover has come at the owner that makes it.
+// outgoingState is the progress of a handover at the owner that makes it.
 type outgoingState string
 
 const (
-	outgoingOffered  outgoingState = "offered"  // The peer has not said that it has the records.
-	outgoingAccepted outgoingState = "accepted" // The write may be asked for.
-	outgoingWriting  outgoingState = "writing"  // The write was asked for; its effect is not known.
-	outgoingReclaim  outgoingState = "reclaim"  // The write had no effect yet; it must be ruled out.
+	outgoingOffered  outgoingState = "offered"  // The peer has not confirmed that it has the records.
+	outgoingAccepted outgoingState = "accepted" // The peer has the records; the write may be requested.
+	outgoingWriting  outgoingState = "writing"  // The write was requested; whether it took effect is not known.
+	outgoingReclaim  outgoingState = "reclaim"  // The write has not taken effect; a write of our own must rule it out.
 )
 
 // outgoing is a handover at the owner that makes it.
@@ -52,14 +52,14 @@
 	id         string
 	to         messenger.Peer
 	state      outgoingState
-	partitions []messenger.HandoverPartition // partitions are stopped here.
+	partitions []messenger.HandoverPartition // Stopped here.
 	jobs       []messenger.HandoverJob
-	jobsSent   int // passed counts the jobs that went to the peer.
-	piecesSent int // pieces counts the pieces in which they went.
+	jobsSent   int
+	piecesSent int
 }
 
-// piece returns the next piece of the records, which has at least one job if any
-// is left. The jobs take about the given bytes at most, but for a larger first one.
+// nextPiece returns the next piece of the records. It has at least one job if any is
+// left, and takes at most about maxBytes unless its first job alone is larger.
 func (o *outgoing) nextPiece(step messenger.HandoverStep, maxBytes int) *messenger.Handover {
 	begin, size := o.jobsSent, 0
 	for o.jobsSent < len(o.jobs) {
@@ -82,7 +82,7 @@
 
 func newHandovers() handovers { return handovers{offers: make(map[string]*offer)} }
 
-// beginHandover begins to pass partitions to an entry that should own them.
+// startHandover starts to pass partitions to an entry that should own them.
 func (c *Coordinator) startHandover(now time.Time) {
 	if c.handovers.outgoing != nil || !c.registrar.Reachable() {
 		return
@@ -110,14 +110,15 @@
 	c.handovers.outgoing = out
 	c.out.RoutesChanged = true
 	h := out.nextPiece(messenger.HandoverOffer, c.limits.HandoverPieceBytes)
-	// The frame is encoded later, and the handover drops partitions meanwhile.
+	// The frame is encoded later, and out.partitions shrinks in the meantime.
 	h.Partitions = slices.Clone(out.partitions)
 	c.entries[to].pendingFrame().Handover = h
 }
 
-// chooseHandover returns the entry that wants most and what it should get.
-// Partitions whose past is not known in full stay, unless this entry drains. The
-// records take no more than the limit in bytes, but for one partition that does.
+// chooseHandover returns the next entry that should own partitions of this one, and
+// which of them to pass to it. Partitions for which records of a former owner are still
+// missing stay, unless this entry is draining. The records take at most HandoverBytes,
+// unless a single partition has more.
 func (c *Coordinator) chooseHandover(now time.Time) (messenger.Peer, []identifier.Partition) {
 	live := c.liveEntries(now)
 	var to messenger.Peer
@@ -147,14 +148,14 @@
 	return to, out
 }
 
-// steady reports whether an entry has been connected long enough to be handed
-// partitions. An entry that drains does not wait.
+// eligibleForHandover reports whether an entry has been connected for MinConnectionAge.
+// An entry that is draining does not wait for that.
 func (c *Coordinator) eligibleForHandover(now time.Time, peer messenger.Peer) bool {
 	e := c.entries[peer]
 	return e != nil && (c.draining || now.Sub(e.connectedAt) >= c.limits.MinConnectionAge)
 }
 
-// stop ends all activity of a partition and returns its records. Requests that
+// stopPartition ends all activity of a partition and returns its records. Requests that
 // wait for its jobs are held.
 func (c *Coordinator) stopPartition(now time.Time, p identifier.Partition) []messenger.HandoverJob {
 	c.recoverer.Stop(p)
@@ -169,7 +170,7 @@
 	return jobs
 }
 
-// handoverWrite returns the write that the handover needs now.
+// handoverWrite returns the write that the current state of the handover requires.
 func (c *Coordinator) handoverWrite() (storer.Transaction, bool) {
 	out := c.handovers.outgoing
 	if out == nil {
@@ -185,8 +186,8 @@
 	return storer.Transaction{}, false
 }
 
-// ownerWrite names an owner for the partitions of a handover that still have the
-// rows under which they were stopped.
+// ownerWrite returns a write that sets the owner of the partitions of a handover, on
+// the condition that the rows under which they were stopped are unchanged.
 func (c *Coordinator) ownerWrite(out *outgoing, to messenger.Peer, id string) storer.Transaction {
 	t := storer.Transaction{
 		Conditions: []storer.Condition{registrar.RosterCondition(c.registrar.Roster(c.self.Region))},
@@ -204,10 +205,11 @@
 	return t
 }
 
-// reclaimID names the write by which an owner takes back what it offered.
+// reclaimID returns the id of the write by which an owner takes back the partitions of
+// its handover.
 func reclaimID(id string) string { return id + "/reclaim" }
 
-// checkHandover looks at the rows after they were read.
+// checkHandover updates the handover after rows were read.
 func (c *Coordinator) checkHandover(now time.Time) {
 	out := c.handovers.outgoing
 	if out == nil {
@@ -217,7 +219,8 @@
 		return c.recoverer.Phase(hp.Partition) != recoverer.PhaseStopped || c.recoverer.Epoch(hp.Partition) != hp.Epoch
 	})
 	if len(out.partitions) == 0 {
-		// The peer learns of the rows by their revision, which its next frame brings.
+		// The peer learns of the rows from their revision, which the next frame to it
+		// carries.
 		c.handovers.outgoing = nil
 		return
 	}
@@ -226,14 +229,14 @@
 	}
 }
 
-// handoverUnwanted goes on with the partitions if the peer should not have them.
+// cancelIfPeerRemoved cancels the handover if the peer has no row any more.
 func (c *Coordinator) cancelIfPeerRemoved(now time.Time, out *outgoing) {
 	if _, ok := c.registrar.Entry(out.to); !ok {
 		c.cancelHandover(now, out)
 	}
 }
 
-// cancelHandover goes on with partitions for which no write was asked for.
+// cancelHandover resumes partitions for which no write was requested.
 func (c *Coordinator) cancelHandover(now time.Time, out *outgoing) {
 	c.handovers.outgoing = nil
 	if e := c.entries[out.to]; e != nil {
@@ -252,7 +255,8 @@
 	c.out.RoutesChanged = true
 }
 
-// resumeHandover makes a partition active again that this entry took back.
+// resumeReclaimed activates a partition that this entry has taken back. It reports
+// whether the row comes from such a reclaim.
 func (c *Coordinator) resumeReclaimed(now time.Time, gained messenger.PartitionEpoch, id string) bool {
 	out := c.handovers.outgoing
 	if out == nil || id != reclaimID(out.id) || c.recoverer.Phase(gained.Partition) != recoverer.PhaseStopped {
@@ -285,8 +289,8 @@
 	}
 }
 
-// handoverPeerDown goes on with partitions whose write was not asked for yet, and
-// forgets what the peer has offered in part.
+// handoverPeerDown cancels the handover to a peer whose connection has ended if no
+// write was requested yet, and drops incomplete offers from the peer.
 func (c *Coordinator) handoverPeerDown(now time.Time, peer messenger.Peer) {
 	for id, o := range c.handovers.offers {
 		if o.from == peer && !o.complete {
@@ -319,8 +323,8 @@
 	}
 }
 
-// importJobs takes over jobs with all that is known of them. The requests that
-// wait bring their tasks again.
+// importJobs adds jobs with everything that their former owner knew. The tasks
+// themselves come again with the requests that wait.
 func (c *Coordinator) importJobs(now time.Time, jobs []messenger.HandoverJob) {
 	for i := range jobs {
 		c.owner.Import(now, jobs[i])
--- a/internal/coordinator/handover_test.go
+++ b/internal/coordinator/handover_test.go
@@ -10,15 +10,15 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// TestHandoverInPieces drains an entry that keeps many answers, with the limits of
-// production. No message of the handover may be so large that it holds up the
-// pings beside it, and each answer must be known afterwards.
+// TestHandoverInPieces drains an entry that holds many answers, with the size limits of
+// production. No message of the handover may be so large that it delays the pings on
+// the same connection, and each answer must be available afterwards.
 func TestHandoverInPieces(t *testing.T) {
 	const (
 		jobs     = 600
 		tasks    = 20
 		taskSize = 1000
-		// A message that holds more than the jobs that end it has them in a piece.
+		// The last job of a piece may exceed the limit, and CBOR adds overhead.
 		maxBytes = coordinator.DefaultHandoverPieceBytes + 2*tasks*taskSize
 	)
 	sim := newSimulation(func(n int) int { return n - 1 }, simulationOptions{
@@ -31,7 +31,7 @@
 	sim.runUntil(2*time.Second, sim.serving)
 	var submissions []*submission
 	for i := range jobs {
-		// All jobs are in a fourth of the partitions.
+		// All jobs are in a quarter of the partitions.
 		s := sim.largeSubmission(identifier.Partition(i%64), tasks, taskSize)
 		submissions = append(submissions, s)
 		sim.submitTo(sim.entries[i%2], s, coordinator.RequestSubmit)
@@ -52,9 +52,9 @@
 	if drained.alive {
 		t.Error("the entry did not drain")
 	}
-	t.Logf("%d messages of handovers, the largest of %d bytes", handovers, largest)
+	t.Logf("%d handover messages, the largest has %d bytes", handovers, largest)
 	if largest > maxBytes {
-		t.Errorf("the largest message of a handover has %d bytes, want at most %d", largest, maxBytes)
+		t.Errorf("the largest handover message has %d bytes, want at most %d", largest, maxBytes)
 	}
 	for _, s := range submissions {
 		sim.submitTo(sim.entries[1], s, coordinator.RequestSubmit)
@@ -69,7 +69,7 @@
 	}
 }
 
-// largeSubmission adds a submission whose tasks have payloads of a size.
+// largeSubmission adds a submission whose tasks have payloads of about the given size.
 func (sim *simulation) largeSubmission(p identifier.Partition, tasks, size int) *submission {
 	s := sim.newSubmission(p, "", tasks, 5*time.Second)
 	for i := range s.payloads {
--- a/internal/coordinator/limits.go
+++ b/internal/coordinator/limits.go
@@ -19,26 +19,30 @@
 	Leaser    leaser.Limits
 	Recoverer recoverer.Limits
 	Enroller  enroller.Limits
-	// StartBudget is how long a start may be under way to its upstream.
+	// StartTimeout is the longest time from sending a start until its task starts at
+	// the upstream; a later start is refused.
 	StartTimeout time.Duration
-	// SuspectAfter is how long an entry may be silent before its partitions are
+	// SuspicionTimeout is how long an entry may send nothing before its partitions are
 	// taken over.
 	SuspicionTimeout time.Duration
-	// PingEntriesEvery is the period at which entries tell each other that they live.
+	// EntryHeartbeatInterval is the interval of heartbeats between entries.
 	EntryHeartbeatInterval time.Duration
-	// SteadyAfter is how long an entry must be connected before it is handed partitions.
+	// MinConnectionAge is how long an entry must have been connected before it is
+	// handed partitions.
 	MinConnectionAge time.Duration
-	// HandoverBytes is about how much the records of one handover take, unless one
-	// partition has more; HandoverPieceBytes is that of one message of it.
+	// HandoverBytes is the approximate size limit of the records of one handover,
+	// unless a single partition has more. HandoverPieceBytes is the limit of one
+	// message of it.
 	HandoverBytes, HandoverPieceBytes int
-	// AnswerSlack is how long after a deadline the owner's answer is awaited.
+	// AnswerGracePeriod is how long after a deadline this entry waits for the owner's
+	// answer.
 	AnswerGracePeriod time.Duration
-	// Regions are all regions, in an order that never changes; empty means that
-	// there is only the region of the entry.
+	// Regions lists all regions, in an order that never changes. If it is empty, there
+	// is only the region of the entry.
 	Regions []string
 }
 
-// Rules has the checks that at-most-once rests on.
+// Rules has the checks on which at-most-once execution rests.
 type Rules struct {
 	Registrar registrar.Rules
 	Leaser    leaser.Rules
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -9,39 +9,40 @@
 	"sardinelock.dev/sardinelock/internal/registrar"
 )
 
-// AgentState is how an agent stands to the roster.
+// AgentState is the state of an agent in the roster.
 type AgentState string
 
 // The states of agents in a roster.
 const (
-	AgentMember       AgentState = "member"   // Tasks may be given to the agent.
-	AgentDeparted     AgentState = "departed" // The agent left; its records may still matter.
+	AgentMember       AgentState = "member"   // The agent may be sent tasks.
+	AgentDeparted     AgentState = "departed" // The agent has left; its records may still be needed.
 	AgentDeclaredDead AgentState = "declared" // An operator declared the agent dead.
 )
 
-// WitnessState says whether leases rest on an agent.
+// WitnessState tells whether leases depend on an agent.
 type WitnessState string
 
-// The kinds of witnesses; an agent that is none has an empty state.
+// The kinds of witnesses. An agent that is not a witness has an empty state.
 const (
 	WitnessCurrent  WitnessState = "current"
 	WitnessPrevious WitnessState = "previous" // Some entry may still rely on the agent.
 )
 
-// AgentStatus is what operators see of an agent of the roster.
+// AgentStatus is the status of an agent of the roster that operators see.
 type AgentStatus struct {
 	Peer             messenger.Peer
-	DataCentre, Rack string // DataCentre and Rack are empty once the agent is no member.
+	DataCentre, Rack string // Empty once the agent is not a member.
 	State            AgentState
 	Witness          WitnessState
 	Connected        bool
-	// Fencing is the number of partitions that this entry has taken over and that
-	// wait, among others, for the agent.
+	// PartitionsFencing is the number of partitions being taken over by this entry
+	// whose fencing waits for this agent, among others.
 	PartitionsFencing int
-	// Missing is the number of this entry's partitions whose records at the agent
-	// are not known.
+	// PartitionsMissing is the number of this entry's partitions for which it does not
+	// have the agent's records.
 	PartitionsMissing int
-	// Heir is the agent that has the records of one that left in good order.
+	// Successor is the agent that holds the records of an agent that has left in an
+	// orderly shutdown.
 	Successor messenger.Peer
 	// DeclaredAt is when an operator declared the agent dead; zero if none did.
 	DeclaredAt time.Time
@@ -50,7 +51,7 @@
 // RosterStatus is the roster as this entry knows it.
 type RosterStatus struct {
 	Version uint64
-	Agents  []AgentStatus // Agents has the members and then the departed.
+	Agents  []AgentStatus // The members, then the departed agents.
 }
 
 // Roster returns the status of the agents of this region.
@@ -88,7 +89,8 @@
 	return ""
 }
 
-// waitedFor counts the partitions of this entry that wait for each agent.
+// partitionsWaitingFor counts, for each agent, the partitions of this entry that wait
+// for it.
 func (c *Coordinator) partitionsWaitingFor(now time.Time) (fencing, missing map[messenger.Peer]int) {
 	fencing = make(map[messenger.Peer]int)
 	missing = make(map[messenger.Peer]int)
--- a/internal/coordinator/needed_test.go
+++ b/internal/coordinator/needed_test.go
@@ -12,15 +12,15 @@
 	"sardinelock.dev/sardinelock/internal/owner"
 )
 
-// neededRules switches the rules off one at a time.
+// neededRules lists the rules, each with a way to switch it off.
 var neededRules = []struct {
 	name       string
 	rules      func(*coordinator.Rules)
 	ownerRules func(*owner.Rules)
 	guardRules func(*guard.Rules)
 	extras     simulationExtras
-	// directed is a history that is known to need the rule; nil means that one is
-	// searched for among random ones.
+	// directed is a history that is known to need the rule; nil to search random
+	// histories for one.
 	directed func(*simulation)
 }{
 	{
@@ -69,10 +69,10 @@
 		directed: lostClaim,
 	},
 	{
-		// The agent's own check of its admission cannot be shown to be needed: an
-		// entry admits an agent on a connection before its first start there, by the
-		// same rows, so that a start is refused as not admitted only if the entry has
-		// broken this rule.
+		// The agent's own check of its admission cannot be shown to be needed: an entry
+		// admits an agent on a connection before its first start there, by the same
+		// rows. A start is therefore refused as not admitted only if the entry has
+		// violated this rule.
 		name:     "admission",
 		rules:    func(r *coordinator.Rules) { r.Enrolled = func(bool) bool { return true } },
 		directed: unenrolledAgent,
@@ -98,12 +98,12 @@
 	},
 }
 
-// neededHistories bounds the search for a violation.
+// maxSearchedHistories limits the search for a violation.
 const maxSearchedHistories = 1000
 
-// TestEachGuardIsNeeded switches each rule off and lets histories happen until one
-// breaks a rule of the oracle, which shows that the rule is needed and that the
-// oracle sees it. With the rule on, the directed histories break nothing.
+// TestEachGuardIsNeeded switches each rule off and runs histories until the oracle
+// finds a violation, which shows that the rule is needed and that the oracle detects
+// its absence. With the rule on, the directed histories violate nothing.
 func TestEachGuardIsNeeded(t *testing.T) {
 	for _, n := range neededRules {
 		t.Run(n.name, func(t *testing.T) {
@@ -133,14 +133,14 @@
 			return
 		}
 	}
-	t.Errorf("%d histories without the rule broke nothing", maxSearchedHistories)
+	t.Errorf("no violation in %d histories without the rule", maxSearchedHistories)
 }
 
 func checkDirected(t *testing.T, off simulationOptions, directed func(*simulation)) {
 	off.entries, off.agents, off.slots = 3, 3, 2
 	off.limits = func(l *coordinator.Limits) {
-		// The clocks of a directed history agree, and a takeover is shorter than
-		// the time that a start may be under way.
+		// The clocks of a directed history agree, and a takeover is shorter than the
+		// start timeout.
 		l.Recoverer.MaxClockSkew = 0
 		l.StartTimeout = 5 * time.Second
 	}
@@ -153,7 +153,7 @@
 	}
 	sim = runDirected(off, directed)
 	if !strings.HasPrefix(sim.oracle.violation, "rule ") {
-		t.Fatalf("without the rule nothing broke\n%s", tail(sim.trace.String()))
+		t.Fatalf("no violation without the rule\n%s", tail(sim.trace.String()))
 	}
 	t.Log(sim.oracle.violation)
 }
--- a/internal/coordinator/offer.go
+++ b/internal/coordinator/offer.go
@@ -8,17 +8,18 @@
 	"sardinelock.dev/sardinelock/internal/recoverer"
 )
 
-// offer is a handover at the peer that it is made to.
+// offer is a handover at the peer that receives it.
 type offer struct {
 	from           messenger.Peer
 	receivedAt     time.Time
 	partitions     []messenger.HandoverPartition
-	jobs           []messenger.HandoverJob // jobs are those of the pieces so far.
-	piecesReceived int                     // pieces counts the pieces that came.
-	complete       bool                    // complete means that the last piece came.
+	jobs           []messenger.HandoverJob // The jobs of the pieces received so far.
+	piecesReceived int
+	complete       bool // The last piece was received.
 }
 
-// add takes a piece of the records. It returns false if it is not the next one.
+// addPiece adds a piece of the records. It returns false if the piece is not the next
+// one.
 func (o *offer) addPiece(h *messenger.Handover) bool {
 	if o.complete || h.Piece != o.piecesReceived {
 		return false
@@ -29,7 +30,8 @@
 	return true
 }
 
-// gainHandover makes a partition active that its owner has passed to this entry.
+// activateHandedOver activates a partition whose owner has passed it to this entry. It
+// reports whether the row comes from a handover whose records are complete here.
 func (c *Coordinator) activateHandedOver(now time.Time, gained messenger.PartitionEpoch, id string) bool {
 	o := c.handovers.offers[id]
 	if id == "" || o == nil || !o.complete {
@@ -45,9 +47,9 @@
 	return false
 }
 
-// receivePiece takes a piece of what is offered and asks for the next one, or
-// accepts when the last is in. A piece out of order says that its handover has
-// ended or that the connection was another then; the owner cancels it.
+// receivePiece adds a piece of an offer and asks for the next one, or accepts the offer
+// after the last one. A piece out of order belongs to a handover that has ended or to
+// an earlier connection; the owner cancels such a handover.
 func (c *Coordinator) receivePiece(e *entryLink, h *messenger.Handover) {
 	o := c.handovers.offers[h.ID]
 	if o == nil || o.from != e.peer || !o.addPiece(h) {
@@ -60,9 +62,9 @@
 	e.pendingFrame().Handover = reply
 }
 
-// offerEnded reports whether the rows of an offer can change to this entry no
-// more. An owner that makes a late write finds a new owner without its records,
-// which then takes the partitions over.
+// offerObsolete reports whether an offer can no longer lead to rows that name this
+// entry. If the owner's write still takes effect later, this entry owns the partitions
+// without their records and recovers them by a takeover.
 func (c *Coordinator) offerObsolete(now time.Time, o *offer) bool {
 	if now.Sub(o.receivedAt) > c.limits.Recoverer.Window {
 		return true
--- a/internal/coordinator/ownership.go
+++ b/internal/coordinator/ownership.go
@@ -12,12 +12,12 @@
 	"sardinelock.dev/sardinelock/internal/storer"
 )
 
-// Owns reports whether this entry owns the partition and takes its requests.
+// Owns reports whether this entry owns the partition and accepts its requests.
 func (c *Coordinator) Owns(p identifier.Partition) bool {
 	return c.recoverer.Phase(p) == recoverer.PhaseActive
 }
 
-// Owned returns the partitions that this entry owns, in whatever phase.
+// Owned returns the partitions that this entry owns, in any phase.
 func (c *Coordinator) Owned() []messenger.PartitionEpoch {
 	var out []messenger.PartitionEpoch
 	for p := range identifier.Partition(identifier.Partitions) {
@@ -28,7 +28,8 @@
 	return out
 }
 
-// applyRows compares the rows with what this entry has, after they changed.
+// applyRows brings the state of this entry in line with the rows after they have
+// changed.
 func (c *Coordinator) applyRows(now time.Time) {
 	rows := c.registrar.Take()
 	c.out.Reads = append(c.out.Reads, rows.Reads...)
@@ -67,8 +68,8 @@
 	}
 }
 
-// applyPartitionRows loses and gains partitions. A row with an epoch below one
-// that was seen elsewhere is out of date and says nothing.
+// applyPartitionRows applies the loss and gain of partitions. A row with a lower epoch
+// than one that was seen elsewhere is out of date and is ignored.
 func (c *Coordinator) applyPartitionRows(now time.Time) {
 	var handedOver, takenOver, firstOwned []messenger.PartitionEpoch
 	for p := range identifier.Partition(identifier.Partitions) {
@@ -92,8 +93,8 @@
 	c.fenceAll(slices.Concat(handedOver, takenOver, firstOwned))
 }
 
-// sawEpoch applies an epoch of a partition that any source reported. An entry
-// that owns the partition under a lower epoch owns it no more.
+// observeEpoch applies an epoch of a partition that any source has reported. An entry
+// that owns the partition under a lower epoch has lost it.
 func (c *Coordinator) observeEpoch(now time.Time, p identifier.Partition, epoch uint64) {
 	if epoch <= c.highestEpoch[p] {
 		return
@@ -109,8 +110,8 @@
 	c.endOwnership(now, p)
 }
 
-// lose ends the ownership of a partition. The requests that wait are passed on to
-// the new owner, which learns from the agents what has started.
+// endOwnership ends the ownership of a partition. Waiting requests are redirected to
+// the new owner, which learns from the agents which tasks have started.
 func (c *Coordinator) endOwnership(now time.Time, p identifier.Partition) {
 	if c.recoverer.Phase(p) != recoverer.PhaseStopped {
 		c.takenOverAt[p] = now
@@ -129,7 +130,7 @@
 	c.out.RoutesChanged = true
 }
 
-// propose makes the one write that is most needed, if any.
+// propose requests the most urgent write, if any is needed and none is in flight.
 func (c *Coordinator) propose(now time.Time) {
 	if !c.registrar.Idle() {
 		return
@@ -172,10 +173,11 @@
 	c.startHandover(now)
 }
 
-// claim takes over the partitions of this region that have no owner, or whose
-// owner is out of reach, and that this entry should own. The write is conditional
-// on the roster, so that the agents to be asked are known, and it renews this
-// entry's row, so that what this entry relies on, and that it recovers, is on record.
+// claimWrite returns the write that takes over the partitions of this region that
+// should be owned by this entry and have no owner, or one that is unreachable. The
+// write is conditional on the roster, so that the agents to be fenced are known. It
+// also renews this entry's row, which records the roster that the entry relies on and
+// that it is recovering.
 func (c *Coordinator) claimWrite(now time.Time) (storer.Transaction, bool) {
 	var t storer.Transaction
 	if c.draining {
@@ -215,8 +217,8 @@
 	return since.IsZero() || now.Sub(since) >= reclaimDelayFactor*c.limits.SuspicionTimeout
 }
 
-// supersededPauses is how many times the suspicion time an entry waits before it
-// takes back a partition that was taken over from it. Two entries that reach the
-// platform and not each other would otherwise take partitions from each other
+// reclaimDelayFactor is the number of suspicion timeouts for which an entry waits
+// before it takes back a partition that was taken over from it. Otherwise two entries
+// that reach the platform but not each other would take partitions from each other
 // faster than either can serve them.
 const reclaimDelayFactor = 10
--- a/internal/coordinator/regions_test.go
+++ b/internal/coordinator/regions_test.go
@@ -11,27 +11,27 @@
 	"sardinelock.dev/sardinelock/internal/identifier"
 )
 
-// Partitions of each region, by [claimer.Home].
+// One partition of each region, by [claimer.HomeRegion].
 const (
 	eastern identifier.Partition = 0
 	western identifier.Partition = 1
 )
 
-// regionsWorld returns a settled world of two regions with two entries and two
-// agents each. The first entry is of the eastern region.
+// newTwoRegionSimulation returns a simulation of two regions with two entries and two
+// agents each, in which all entries serve. The first entry is in the eastern region.
 func newTwoRegionSimulation() *simulation {
 	o := simulationOptions{entries: 4, agents: 4, slots: 2}
 	o.regions = 2
 	return runDirected(o, func(*simulation) {})
 }
 
-// ask submits a submission and returns its request.
+// submitRequest submits a submission and returns its request.
 func (sim *simulation) submitRequest(p *process, s *submission) *request {
 	sim.submitTo(p, s, coordinator.RequestSubmit)
 	return sim.oracle.requests[len(sim.oracle.requests)-1]
 }
 
-// answers writes the answers of requests.
+// answers formats the answers of requests.
 func answers(rs ...*request) []string {
 	var out []string
 	for _, r := range rs {
@@ -40,9 +40,9 @@
 	return out
 }
 
-// TestRegions submits jobs of both regions at an eastern entry while the regions
-// are joined, apart and joined again. Apart, what belongs to the other region is
-// answered unknown without a wait and starts nothing.
+// TestRegions submits jobs of both regions at an eastern entry while the regions are
+// connected, split and connected again. During the split, a job of the other region is
+// answered unknown at once and starts nothing.
 func TestRegions(t *testing.T) {
 	sim := newTwoRegionSimulation()
 	east := sim.entries[0]
@@ -68,16 +68,16 @@
 		t.Errorf("answers (-want +got):\n%s\n%s", diff, tail(sim.trace.String()))
 	}
 	if startedApart {
-		t.Error("a task of the other region started while the regions were apart")
+		t.Error("a task of the other region started while the regions were split")
 	}
 	if sim.oracle.violation != "" {
 		t.Error(sim.oracle.violation)
 	}
 }
 
-// TestRegionsPartDuringJob parts the regions while a job that was passed on runs.
-// Its caller is told unknown; when the regions are joined, the same id gets the
-// answer, and no task has started twice.
+// TestRegionSplitDuringJob splits the regions while a forwarded job runs. Its caller is
+// answered unknown. When the regions are connected again, the same id gets the answer,
+// and no task has started twice.
 func TestRegionSplitDuringJob(t *testing.T) {
 	sim := newTwoRegionSimulation()
 	east := sim.entries[0]
--- a/internal/coordinator/requests.go
+++ b/internal/coordinator/requests.go
@@ -12,45 +12,46 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// RequestKind says what a caller asks for.
+// RequestKind is the kind of a caller's request.
 type RequestKind string
 
 // The kinds of requests.
 const (
-	RequestSubmit RequestKind = "submit" // Run the job, or answer with its kept answer.
-	RequestAttach RequestKind = "attach" // Answer for a known submission; the job brings no tasks.
+	RequestSubmit RequestKind = "submit" // Run the job, or return the answer that it already has.
+	RequestAttach RequestKind = "attach" // Return the answer of a known submission; the job has no tasks.
 	RequestCancel RequestKind = "cancel" // Cancel a known submission.
 )
 
-// Request is what a caller asks for. Its deadline is that of the job.
+// Request is a request of a caller. Its deadline is that of the job.
 type Request struct {
 	Kind RequestKind
 	Job  owner.Job
-	// Fresh says that this entry made the id for the request, so that no other
-	// request can have brought it before.
+	// NewID is set if this entry generated the id for the request, so that no other
+	// request can have used it before.
 	NewID bool
-	// Resent says that the request was with another owner before, which did not
+	// Resent is set if the request was sent to another owner before, which did not
 	// answer it but may have started tasks.
 	Resent bool
 }
 
-// requests are those that no owner at this entry has taken: they wait for another
-// entry's answer, for a partition to become active, or for an owner to be known.
+// requests holds the requests that no owner at this entry has accepted: they wait for
+// another entry's answer, for a partition to become active, or for an owner to be
+// known.
 type requests struct {
 	forwards    map[uint64]*forward
-	order       []uint64 // order has the tickets of forwards in order of arrival; some may be gone.
-	expiries    expiries // expiries has every forward, and some that are gone.
-	unrouted    int      // unrouted is at least the number of forwards that no entry has.
+	order       []uint64 // Tickets in order of arrival; may include answered ones.
+	expiries    expiries // Has every forward; may include answered ones.
+	unrouted    int      // An upper bound of the forwards that are at no entry.
 	held        [identifier.Partitions][]heldRequest
 	heldSize    int
-	gracePeriod time.Duration // slack is how long after a deadline the owner's answer is awaited.
+	gracePeriod time.Duration // How long after a deadline the owner's answer is awaited.
 }
 
-// heldRequest is a request for a partition of this entry that is not active.
+// heldRequest is a request for a partition that this entry owns and that is not active.
 type heldRequest struct {
 	waiter  owner.Waiter
 	request Request
-	// until is when the records of agents are awaited no more; zero if the request
+	// recordsDeadline is when the request stops waiting for agents' records; zero if it
 	// does not wait for them.
 	recordsDeadline time.Time
 }
@@ -77,7 +78,7 @@
 	r.heldSize++
 }
 
-// takeHeld removes and returns what is held for a partition.
+// takeHeld removes and returns the requests held for a partition.
 func (r *requests) takeHeld(p identifier.Partition) []heldRequest {
 	out := r.held[p]
 	r.held[p] = nil
@@ -101,12 +102,12 @@
 	c.route(now, ticket)
 }
 
-// local applies a request for a partition that this entry owns.
+// applyLocally applies a request for a partition that this entry owns.
 func (c *Coordinator) applyLocally(now time.Time, w owner.Waiter, r Request) {
 	c.applyLocallyUntil(now, w, r, now.Add(c.limits.Owner.AgentLossTimeout))
 }
 
-// localUntil applies a request that waits for records until the given time.
+// applyLocallyUntil applies a request that waits for records until the given time.
 func (c *Coordinator) applyLocallyUntil(now time.Time, w owner.Waiter, r Request, recordsDeadline time.Time) {
 	j := r.Job
 	if c.recoverer.Phase(j.Submission.Partition()) != recoverer.PhaseActive {
@@ -143,9 +144,9 @@
 	}
 }
 
-// past returns what may have become of a request's id, or of its request key,
-// under a former owner. A new id does not help an old key: the key may have been
-// used under another id.
+// formerOutcome returns what may have happened under a former owner to a request's id
+// or request key. A new id does not make an old key safe: the key may have been used
+// with another id.
 func (c *Coordinator) formerOutcome(now time.Time, r *Request) recoverer.FormerOutcome {
 	if r.Job.RequestKey != "" && c.recoverer.Uncertainty(now, r.Job.Submission.Partition()).RecordsIncomplete {
 		return recoverer.FormerOutcomeUnknown
@@ -155,16 +156,16 @@
 	}
 	outcome := c.recoverer.FormerOutcome(now, r.Job.Submission)
 	if r.NewID && outcome == recoverer.FormerOutcomeNotRun {
-		// Nobody but the resent request asked for the id, and it had no answer.
+		// Only the resent request has used the id, and it had no answer.
 		return recoverer.FormerOutcomeNone
 	}
 	return outcome
 }
 
-// localUncertain applies a request for an id that may have run under a former
-// owner while some agent's records are missing. If every task is known to have
-// started, the job goes on, since nothing of it can be started again. If some are,
-// the request waits for a while for the records of the others.
+// applyUncertain applies a request for an id that may have run under a former owner
+// while some agents' records are missing. If every task is known to have started, the
+// job continues, because no task of it can be started again. If only some are, the
+// request waits until recordsDeadline for the records of the other agents.
 func (c *Coordinator) applyUncertain(now time.Time, w owner.Waiter, r Request, recordsDeadline time.Time) {
 	j := r.Job
 	started := c.owner.Started(j.Submission)
@@ -182,15 +183,15 @@
 	}
 }
 
-// attach answers for a known submission. A submission that is not known here, or
-// that is another team's, is answered the same way.
+// attach answers a request for a known submission. A submission of another team is
+// answered as if it were unknown.
 func (c *Coordinator) attach(now time.Time, w owner.Waiter, j owner.Job) {
 	if !c.owner.Attach(now, w, j.Submission, j.Team, j.Deadline) {
 		c.deliver(now, w, unknownAnswer(j.Submission, submitter.ReasonNoSuchSubmission, "no such submission is known"))
 	}
 }
 
-// releaseHeld applies the requests that waited for partitions that are now active.
+// releaseHeld applies the requests held for partitions that are now active.
 func (c *Coordinator) releaseHeld(now time.Time) {
 	if c.requests.heldSize == 0 {
 		return
@@ -208,9 +209,9 @@
 	}
 }
 
-// expireRequests answers the requests whose deadline has passed, after a pause in
-// which the owner's own answer may still arrive. A request whose id was made for
-// it and that never left this entry did not run.
+// expireRequests answers the requests whose deadline has passed, after a grace period
+// in which the owner's own answer may still arrive. A request did not run if its id was
+// generated for it and it was never sent to another entry.
 func (c *Coordinator) expireRequests(now time.Time) {
 	for _, ticket := range c.requests.expiries.takeExpired(now) {
 		if f := c.requests.forwards[ticket]; f != nil {
@@ -240,8 +241,9 @@
 	}
 }
 
-// deliver gives an answer to who waits for it. Without the lease another entry may
-// own the submission by now and may still run it, so only a complete answer is true.
+// deliver sends an answer to the waiting caller or entry. Without the lease another
+// entry may own the submission by now and may still run it, so only a complete answer
+// can be trusted.
 func (c *Coordinator) deliver(now time.Time, w owner.Waiter, a *messenger.Answer) {
 	if a.Outcome != string(submitter.OutcomeComplete) && !c.leaser.Held(now) {
 		a = unknownAnswer(a.Submission, submitter.ReasonOwnerChanged,
@@ -261,7 +263,8 @@
 	f.Answers = append(f.Answers, own)
 }
 
-// unknown returns an answer that claims nothing.
+// unknownAnswer returns an answer with outcome unknown, which does not say whether
+// anything ran.
 func unknownAnswer(s identifier.Submission, reason submitter.Reason, detail string) *messenger.Answer {
 	return &messenger.Answer{
 		Submission: s,
--- a/internal/coordinator/roster.go
+++ b/internal/coordinator/roster.go
@@ -10,8 +10,8 @@
 	"sardinelock.dev/sardinelock/internal/storer"
 )
 
-// applyRoster relies on the roster that was read: leases rest on its witnesses
-// from now on, and its members may be given tasks.
+// applyRoster adopts the roster that was read: leases depend on its witnesses from now
+// on, and its members may be sent tasks.
 func (c *Coordinator) applyRoster(now time.Time) {
 	roster := c.registrar.Roster(c.self.Region)
 	c.leaser.SetWitnesses(roster.Witnesses)
@@ -37,15 +37,15 @@
 	}
 }
 
-// keeps reports whether this entry looks after the roster: the first of the
-// entries of the region that live. Two entries may think so for a while; their
-// writes are conditional.
+// maintainsRoster reports whether this entry maintains the roster: the first of the
+// live entries of the region does. Two entries may both conclude this at the same time;
+// their writes are conditional.
 func (c *Coordinator) maintainsRoster(now time.Time) bool {
 	live := c.liveEntries(now)
 	return len(live) > 0 && live[0] == c.self.Peer
 }
 
-// rosterWrite returns the write of a roster that differs from the current one.
+// rosterWrite returns the write of the new roster if it differs from the current one.
 func (c *Coordinator) rosterWrite(now time.Time) (storer.Transaction, bool) {
 	if !c.maintainsRoster(now) {
 		return storer.Transaction{}, false
@@ -83,8 +83,8 @@
 	return now.Sub(since)
 }
 
-// lowestAdopted returns the lowest roster version that an entry of this region
-// relies on.
+// lowestAdopted returns the lowest roster version on which an entry of this region
+// relies.
 func (c *Coordinator) lowestAdopted() uint64 {
 	lowest := c.self.RosterVersion
 	for _, e := range c.registrar.Entries() {
@@ -95,9 +95,10 @@
 	return lowest
 }
 
-// cleanup removes the row of an entry that is gone. The row says which witnesses
-// the entry may still rely on, so it stays until every partition of entries that
-// are gone has an owner that has fenced the former one.
+// entryRemovalWrite returns the write that deletes the row of an entry that has
+// terminated. The row tells on which witnesses the entry may still rely, so it stays
+// until every partition of terminated entries has an owner that has fenced the former
+// one.
 func (c *Coordinator) entryRemovalWrite(now time.Time) (storer.Transaction, bool) {
 	if !c.maintainsRoster(now) {
 		return storer.Transaction{}, false
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -8,29 +8,29 @@
 	"sardinelock.dev/sardinelock/internal/recoverer"
 )
 
-// PartitionStatus is what operators see of a partition at one entry.
+// PartitionStatus is the status of a partition at one entry that operators see.
 type PartitionStatus struct {
 	Partition identifier.Partition
 	Region    string
 	Owner     messenger.Peer
 	Epoch     uint64
-	// Phase is how far this entry has come with the partition.
+	// Phase is the phase of the partition at this entry.
 	Phase recoverer.Phase
-	// Missing are the agents whose records of the partition are not known.
+	// Missing lists the agents whose records of the partition are not known.
 	Missing []messenger.Peer
-	// PastBefore is the end of the ids that may have been with a former owner; zero
+	// UncertainBefore is the end of the ids that a former owner may have handled; zero
 	// if there are none.
 	UncertainBefore time.Time
 }
 
-// LeaseStatus is what operators see of an entry's lease.
+// LeaseStatus is the status of an entry's lease that operators see.
 type LeaseStatus struct {
 	Held bool
-	// Left is how long the lease lasts without another answer of a witness.
+	// Remaining is how long the lease lasts without another confirmation by a witness.
 	Remaining time.Duration
-	// RowsAge is how long ago the shared rows were last known to be current.
+	// RowsAge is the time since the shared rows were last known to be current.
 	RowsAge time.Duration
-	// Roster is the version of the roster that the entry relies on.
+	// RosterVersion is the version of the roster that the entry relies on.
 	RosterVersion uint64
 }
 
@@ -64,7 +64,8 @@
 }
 
 // Serving reports whether every partition of this region has an owner that can be
-// reached, this entry may start tasks, and at least the given number of agents serve.
+// reached, this entry may start tasks, and at least the given number of agents are
+// serving.
 func (c *Coordinator) Serving(now time.Time, agents int) bool {
 	for p := range identifier.Partition(identifier.Partitions) {
 		row := c.registrar.Partition(p)
--- a/internal/coordinator/takeover_test.go
+++ b/internal/coordinator/takeover_test.go
@@ -11,12 +11,12 @@
 	"sardinelock.dev/sardinelock/internal/owner"
 )
 
-// takeoverTarget is the time from the death of an owner to the first start by the
-// new one that the users asked for, with a lease of three seconds.
+// takeoverTarget is the longest time that users accept from the death of an owner to
+// the first start by the new one, with a lease duration of three seconds.
 const takeoverTarget = 5 * time.Second
 
-// TestTakeoverAt900Agents lets an owner die among 900 agents with the limits of
-// production and measures the time to the next start, and what the takeover sends.
+// TestTakeoverAt900Agents kills an owner among 900 agents with the time limits of
+// production and measures the time to the next start and the messages of the takeover.
 func TestTakeoverAt900Agents(t *testing.T) {
 	sim := newSimulation(func(n int) int { return n - 1 }, simulationOptions{entries: 3, agents: 900, slots: 8, limits: productionTimings})
 	for i, e := range sim.entries {
@@ -49,7 +49,7 @@
 	}
 }
 
-// productionTimes sets the times that the program's settings have.
+// productionTimings sets the time limits to those of the program's settings.
 func productionTimings(l *coordinator.Limits) {
 	l.Leaser.LeaseDuration, l.Leaser.Margin = 3*time.Second, 100*time.Millisecond
 	l.Recoverer.LeaseDuration = 3 * time.Second
@@ -79,7 +79,7 @@
 	}
 }
 
-// submitFresh submits a job whose id the entry has made.
+// submitWithNewID submits a job whose id the entry has generated.
 func (sim *simulation) submitWithNewID(p *process, s *submission) {
 	r := &request{submission: s, entry: p, deadline: p.now(sim).Add(s.timeout)}
 	ticket := sim.oracle.addRequest(r)
@@ -91,8 +91,8 @@
 	sim.flush(p)
 }
 
-// pumpUntil delivers everything at once in steps of 25 ms until a condition holds.
-// Unlike until it connects nobody, which is slow with many agents.
+// deliverUntil delivers all messages at once in steps of 25 ms until a condition holds.
+// Unlike stepUntil it opens no connections, which is slow with many agents.
 func (sim *simulation) deliverUntil(d time.Duration, done func() bool) bool {
 	for end := sim.now.Add(d); sim.now.Before(end); sim.now = sim.now.Add(25 * time.Millisecond) {
 		for _, p := range sim.processes() {
@@ -115,8 +115,8 @@
 	return false
 }
 
-// TestHandoverAnswersAll drains an entry with jobs in flight, which are submitted
-// again through every entry meanwhile. Every request must be answered complete.
+// TestHandoverAnswersAll drains an entry with jobs in flight while they are submitted
+// again through the other entries. Every request must be answered complete.
 func TestHandoverAnswersAll(t *testing.T) {
 	const jobs = 60
 	sim := newSimulation(func(n int) int { return n - 1 }, simulationOptions{entries: 3, agents: 6, slots: 8})
--- a/internal/coordinator/abandoned_test.go
+++ b/internal/coordinator/unasked_test.go
@@ -11,13 +11,14 @@
 	"sardinelock.dev/sardinelock/internal/recoverer"
 )
 
-// unaskedTarget is by when a job that nobody asks for must have ended: the pause
-// until its partition is active, the grace of an abandoned job, and some ticks.
+// abandonedJobLimit is the latest time by which an abandoned job must have ended: the
+// time until its partition is active, the grace period of an abandoned job, and some
+// ticks.
 const abandonedJobLimit = 2*testLease + 200*time.Millisecond + 300*time.Millisecond
 
-// TestUnaskedAfterTakeover lets the owner of a job with running tasks die, and its
-// caller leave while the request is held for the new owner. The tasks must not run
-// until their deadline.
+// TestAbandonedAfterTakeover kills the owner of a job with running tasks, and its
+// callers disconnect while the request is held for the new owner. The tasks must not
+// run until their deadline.
 func TestAbandonedAfterTakeover(t *testing.T) {
 	for name, leave := range map[string]func(*takeoverJob){
 		"callers leave":          func(h *takeoverJob) { h.abandon(0); h.abandon(1) },
@@ -41,40 +42,42 @@
 				t.Fatal(h.sim.oracle.violation)
 			}
 			if !ended {
-				t.Errorf("%d tasks run on %s after nobody asks for them", h.running(), abandonedJobLimit)
+				t.Errorf("%d tasks are still running %s after the job was abandoned", h.running(), abandonedJobLimit)
 			}
 		})
 	}
 }
 
-// TestAskedAfterTakeover is the counterpart: a job that is asked for goes on.
+// TestRequestedAfterTakeover is the counterpart: a job for which a request waits
+// continues.
 func TestRequestedAfterTakeover(t *testing.T) {
 	h := newTakeoverJob(t, false)
 	newOwner := h.newOwner()
 	if !newOwner.entry.Undecided(h.submission.id) {
-		t.Error("the new owner decides about the job before its partition is active")
+		t.Error("the new owner reports the job as decided before its partition is active")
 	}
 	h.abandon(0)
 	before := h.running()
 	h.sim.deliverUntil(2*abandonedJobLimit, func() bool { return h.running() < before })
 	if h.running() != before {
-		t.Errorf("%d of %d tasks run on although a request waits", h.running(), before)
+		t.Errorf("only %d of %d tasks are still running although a request waits", h.running(), before)
 	}
 	if newOwner.entry.Undecided(h.submission.id) {
-		t.Error("the new owner cannot tell about the job when its partition is active")
+		t.Error("the new owner reports the job as undecided although its partition is active")
 	}
 }
 
-// heldJob is a job whose tasks run while its partition is taken over. Request 0
-// was made before, through an entry that lives; request 1 is held for the new owner.
+// takeoverJob is a job whose tasks run while its partition is taken over. Request 0 was
+// made before the takeover through an entry that survives it; request 1 is held for the
+// new owner.
 type takeoverJob struct {
 	sim        *simulation
 	submission *submission
 	partition  identifier.Partition
 }
 
-// newHeldJob returns a job whose partition is being taken over, on request without
-// the records of one agent.
+// newTakeoverJob returns a job whose partition is being taken over; if missing is set,
+// without the records of one agent.
 func newTakeoverJob(t *testing.T, missing bool) *takeoverJob {
 	sim := newSimulation(func(n int) int { return n - 1 }, simulationOptions{entries: 3, agents: 3, slots: 8})
 	sim.runUntil(2*time.Second, sim.serving)
@@ -83,7 +86,7 @@
 	for !dead.entry.Owns(h.partition) {
 		h.partition++
 	}
-	h.submission = sim.newSubmission(h.partition, "", 18, 30*time.Second) // More than two agents have slots.
+	h.submission = sim.newSubmission(h.partition, "", 18, 30*time.Second) // More tasks than two agents have slots.
 	sim.submitTo(sim.entries[1], h.submission, coordinator.RequestSubmit)
 	if !sim.deliverUntil(time.Second, func() bool { return h.running() == len(h.submission.payloads) }) {
 		t.Fatal("the job does not start")
@@ -94,13 +97,13 @@
 	sim.kill(dead)
 	sim.entries[0].paused = true
 	if !sim.deliverUntil(2*time.Second, func() bool { return h.newOwner() != nil }) {
-		t.Fatal("nobody takes the partition over")
+		t.Fatal("no entry takes the partition over")
 	}
 	h.resubmit(h.submission.timeout)
 	return h
 }
 
-// taker returns the entry that is about to own the partition; nil if none is.
+// newOwner returns the entry that is taking the partition over; nil if there is none.
 func (h *takeoverJob) newOwner() *process {
 	for _, e := range h.sim.entries[1:] {
 		switch e.entry.Partitions(e.now(h.sim))[h.partition].Phase {
@@ -124,7 +127,7 @@
 	h.sim.flush(r.entry)
 }
 
-// running returns the number of calls at upstreams that the entries can reach.
+// running returns the number of calls at upstreams whose agents the entries can reach.
 func (h *takeoverJob) running() int {
 	n := 0
 	for _, p := range h.sim.agents {
--- a/internal/coordinator/simulation_actions_test.go
+++ b/internal/coordinator/world_actions_test.go
@@ -10,8 +10,8 @@
 	"sardinelock.dev/sardinelock/internal/owner"
 )
 
-// run lets a history of the given number of steps happen, then heals the world
-// and checks that every request is answered.
+// run runs a history of the given number of steps, then ends all faults and checks that
+// every request is answered.
 func (sim *simulation) run(steps int) {
 	sim.runUntil(time.Second, sim.serving)
 	for range steps {
@@ -34,7 +34,7 @@
 	return true
 }
 
-// step lets one thing happen.
+// step performs one randomly chosen action.
 func (sim *simulation) step() {
 	sim.steps++
 	if sim.pick(100) < sim.options.faultPercent {
@@ -63,7 +63,7 @@
 	}
 }
 
-// fault lets something go wrong, or mends something.
+// fault injects a fault or ends one.
 func (sim *simulation) fault() {
 	if sim.extraFault() {
 		return
@@ -118,8 +118,8 @@
 	}
 }
 
-// elapse lets time pass; each process that acts notices it, but for some that do
-// so later.
+// elapse advances the time. Most active processes get a tick at once; the others get it
+// later.
 func (sim *simulation) elapse(d time.Duration) {
 	sim.now = sim.now.Add(d)
 	for _, p := range sim.processes() {
@@ -138,7 +138,7 @@
 	}
 }
 
-// endSome ends a call of an upstream, seldom with an error.
+// endSomeTask ends a call of an upstream, rarely with an error.
 func (sim *simulation) endSomeTask() {
 	p := sim.anyOf(sim.agents, func(p *process) bool { return p.active() && len(p.running) > 0 })
 	if p == nil {
@@ -154,7 +154,7 @@
 	sim.flush(p)
 }
 
-// submitNew submits a new submission, some with a request key that others use.
+// submitNew submits a new submission, sometimes with a request key that others share.
 func (sim *simulation) submitNew() {
 	skew := [...]time.Duration{0, 0, 0, 0, 90 * time.Millisecond, -500 * time.Millisecond, -9900 * time.Millisecond, time.Minute}[sim.pick(8)]
 	s := &submission{
@@ -182,8 +182,8 @@
 	sim.submitTo(p, s, coordinator.RequestSubmit)
 }
 
-// ownedBy accepts the partitions whose requests an entry takes, or all if it
-// takes none.
+// ownedBy returns a filter for the partitions whose requests an entry accepts, or for
+// all partitions if it accepts none.
 func (sim *simulation) ownedBy(p *process) func(identifier.Partition) bool {
 	for x := range identifier.Partition(identifier.Partitions) {
 		if p.entry.Owns(x) {
@@ -193,8 +193,8 @@
 	return func(identifier.Partition) bool { return true }
 }
 
-// resubmit submits a known submission again, seldom with another body, or asks
-// for its answer, or cancels it.
+// resubmit submits a known submission again, rarely with another body, or attaches to
+// it, or cancels it.
 func (sim *simulation) resubmit() {
 	s := sim.anySubmission()
 	if s == nil {
@@ -225,12 +225,12 @@
 	if len(known) == 0 {
 		return nil
 	}
-	// Late submissions are picked more often: they are where most can happen.
+	// Prefer recent submissions: most rule violations can occur with them.
 	n := len(known)
 	return known[max(sim.pick(n), sim.pick(n))]
 }
 
-// abandonSome lets a caller go away.
+// abandonSome disconnects the caller of a request.
 func (sim *simulation) abandonSome() {
 	var waiting []uint64
 	for ticket, r := range sim.oracle.requests {
@@ -243,7 +243,7 @@
 	}
 	ticket := waiting[sim.pick(len(waiting))]
 	r := sim.oracle.requests[ticket]
-	sim.logf("the caller of request %d goes away", ticket)
+	sim.logf("the caller of request %d disconnects", ticket)
 	r.abandoned = true
 	r.entry.entry.Abandon(r.entry.now(sim), ticket)
 	sim.flush(r.entry)
@@ -277,7 +277,7 @@
 	sim.flush(p)
 }
 
-// connectSome connects some processes that are not connected.
+// connectSome connects one pair of processes that are not connected.
 func (sim *simulation) connectSome() {
 	var pairs [][2]*process
 	for i, e := range sim.entries {
@@ -301,7 +301,7 @@
 	return pairs
 }
 
-// joinable reports whether two processes are not connected and can be.
+// canConnect reports whether two processes are not connected and can be.
 func (sim *simulation) canConnect(a, b *process) bool {
 	if !a.alive || !b.alive || a.side != b.side || sim.connected(a, b) || !sim.regionsReachable(a, b) {
 		return false
@@ -337,10 +337,10 @@
 
 func (sim *simulation) resume(p *process) {
 	p.paused = false
-	sim.logf("%s wakes", p.peer)
+	sim.logf("%s resumes", p.peer)
 }
 
-// killSome ends a process without notice; another takes its seat.
+// killSome ends a process without notice; a new one takes its index.
 func (sim *simulation) killSome() {
 	sim.kill(sim.processes()[sim.pick(len(sim.entries)+len(sim.agents))])
 }
@@ -360,7 +360,7 @@
 	}
 }
 
-// drainSome lets an entry shut down.
+// drainSome starts the shutdown of an entry.
 func (sim *simulation) drainSome() {
 	p := sim.anyOf(sim.entries, func(p *process) bool { return p.active() && !p.leaving })
 	if p == nil {
@@ -372,8 +372,8 @@
 	sim.flush(p)
 }
 
-// leaveIfDrained ends an entry that has shut down; another takes its seat. None of
-// its callers may be left without an answer.
+// leaveIfDrained ends an entry whose drain has finished; a new one takes its index. All
+// its callers must have been answered.
 func (sim *simulation) leaveIfDrained(p *process) {
 	if !p.leaving || !p.entry.Drained(p.now(sim)) {
 		return
@@ -383,7 +383,7 @@
 	sim.kill(p)
 }
 
-// leaveSome lets an upstream leave, or come back.
+// toggleLeavingSome makes an upstream leave or come back.
 func (sim *simulation) toggleLeavingSome() {
 	p := sim.anyOf(sim.agents, (*process).active)
 	if p == nil {
@@ -395,9 +395,9 @@
 	sim.flush(p)
 }
 
-// heal mends everything and lets time pass until every deadline is over.
+// heal ends all faults and advances the time until every deadline has passed.
 func (sim *simulation) heal() {
-	sim.logf("the world heals")
+	sim.logf("all faults end")
 	sim.platformDown = false
 	sim.rejoinRegions()
 	for _, p := range sim.processes() {
@@ -414,12 +414,12 @@
 	sim.runUntil(3*time.Second, sim.oracle.allAnswered)
 }
 
-// settle lets everything that is under way happen while time passes.
+// runFor advances the time and processes everything that is in flight.
 func (sim *simulation) runFor(d time.Duration) {
 	sim.runUntil(d, func() bool { return false })
 }
 
-// settleUntil settles until a condition holds, at most for the given time.
+// runUntil is runFor until a condition holds, but at most for the given time.
 func (sim *simulation) runUntil(d time.Duration, done func() bool) {
 	const quantum = 60 * time.Millisecond
 	for end := sim.now.Add(d); sim.now.Before(end) && sim.oracle.violation == "" && !done(); {
@@ -434,7 +434,7 @@
 	sim.quiesce()
 }
 
-// quiesce connects everyone and lets everything happen that takes no time.
+// quiesce connects all processes and processes everything that takes no time.
 func (sim *simulation) quiesce() {
 	const bound = 2000
 	for range bound {
--- a/internal/coordinator/simulation_extras_test.go
+++ b/internal/coordinator/world_extras_test.go
@@ -9,31 +9,32 @@
 	"sardinelock.dev/sardinelock/internal/timer"
 )
 
-// worldExtras are what some histories have beyond one region, clocks without
-// steps and memory for all records.
+// simulationExtras are options of some histories beyond one region, wall clocks without
+// steps and enough memory for all records.
 type simulationExtras struct {
-	// regions is the number of regions; 0 and 1 mean one. Seats take turns.
+	// regions is the number of regions; 0 and 1 mean one. Process indices alternate
+	// between them.
 	regions int
-	// clockSteps lets the wall clocks of processes be stepped.
+	// stepClocks allows steps of the wall clocks of processes.
 	stepClocks bool
-	// wallClock switches off that a process reads its wall clock at its start only.
+	// followWallClock makes processes read the wall clock all the time instead of only
+	// at their start.
 	followWallClock bool
-	// recordBytes bounds the records of each entry, and a part of it those of each
-	// agent; 0 means plenty.
+	// recordBytes limits the records of each entry, and a fraction of it those of each
+	// agent; 0 means no tight limit.
 	recordBytes int
-	// watchFrames checks that nobody changes a frame after it was sent.
+	// checkFramesUnchanged checks that no frame is changed after it was sent.
 	checkFramesUnchanged bool
 }
 
-// drawExtras draws what a history has beyond its sizes and faults. Half of the
-// histories have no extras.
+// drawExtras draws the extras of a history. Half of the histories have none.
 func (o *simulationOptions) drawExtras(pick func(int) int) {
 	if pick(2) == 0 {
 		return
 	}
 	o.checkFramesUnchanged = pick(2) == 0
 	o.stepClocks = pick(2) == 0
-	// A few jobs fill it; the records of a job of four tasks take about 1 KiB.
+	// A few jobs reach this limit: the records of a job of four tasks take about 1 KiB.
 	if pick(3) == 0 {
 		o.recordBytes = 1024 * (1 + pick(6))
 	}
@@ -51,14 +52,16 @@
 	return []string{"east", "west"}
 }
 
-// regionsApart is how the regions are cut from each other.
+// regionSplit is the state of a network split between the regions.
 type regionSplit struct {
 	regionsSplit bool
-	// unserved is the region that does not reach the platform; empty if all do.
+	// regionWithoutPlatform is the region that cannot reach the platform; empty if all
+	// can.
 	regionWithoutPlatform string
 }
 
-// extraFault lets something happen that only histories with extras have.
+// extraFault may inject a fault that only histories with extras have. It reports
+// whether it did.
 func (sim *simulation) extraFault() bool {
 	if sim.options.regions > 1 && sim.pick(10) == 0 {
 		if sim.regionsSplit {
@@ -75,14 +78,14 @@
 	return false
 }
 
-// partRegions cuts the regions from each other, with notice or in silence, and
-// perhaps one of them from the platform.
+// splitRegions splits the network between the regions, with broken or with silently
+// failing connections, and may cut one region off from the platform.
 func (sim *simulation) splitRegions() {
 	names := append(sim.options.regionNames(), "")
 	sim.regionsSplit = true
 	sim.regionWithoutPlatform = names[sim.pick(len(names))]
 	silent := sim.pick(2) == 0
-	sim.logf("the regions part (silent=%t), without the platform: %q", silent, sim.regionWithoutPlatform)
+	sim.logf("the regions are split (silent=%t), without the platform: %q", silent, sim.regionWithoutPlatform)
 	for _, c := range sim.conns {
 		switch {
 		case c.broken || c.ends[0].region == c.ends[1].region:
@@ -94,20 +97,20 @@
 	}
 }
 
-// joinRegions ends what partRegions did. What was on its way arrives late.
+// rejoinRegions ends the split. Messages that were in flight arrive late.
 func (sim *simulation) rejoinRegions() {
 	if !sim.regionsSplit {
 		return
 	}
-	sim.logf("the regions join")
+	sim.logf("the regions are connected again")
 	sim.regionsSplit, sim.regionWithoutPlatform = false, ""
 	for _, c := range sim.conns {
 		c.silent = c.ends[0].side != c.ends[1].side
 	}
 }
 
-// reaches reports whether a process can connect to another as far as their
-// regions go. Agents know the entries of their own region only.
+// regionsReachable reports whether two processes can connect as far as their regions
+// are concerned. Agents know only the entries of their own region.
 func (sim *simulation) regionsReachable(a, b *process) bool {
 	if a.region == b.region {
 		return true
@@ -125,17 +128,16 @@
 	}
 }
 
-// agentShare is by how much less memory an agent has than an entry, so that each is
-// the first to reach its limit in some histories.
+// agentMemoryDivisor is the ratio of an entry's memory limit to an agent's, so that
+// each is the first to reach its limit in some histories.
 const agentMemoryDivisor = 4
 
-// memorySlack is how far the records of an agent may be beyond their limit when a
-// task has started: by the request key, which is counted after the check, and by the
-// results of calls that are aborted at the same time.
+// memorySlack is how far an agent's records may exceed their limit after a task has
+// started: by the request key, which is counted after the check, and by the results of
+// calls that are aborted at the same time.
 const memorySlack = 160
 
-// checkMemory checks that an agent whose records are beyond their limit starts
-// nothing more.
+// checkMemory checks that an agent whose records exceed their limit starts nothing.
 func (sim *simulation) checkMemory(p *process) {
 	_, bytes := p.guard.Records()
 	if limit := sim.options.recordBytes / agentMemoryDivisor; limit > 0 && bytes > limit+memorySlack {
@@ -153,15 +155,15 @@
 	return n
 }
 
-// stepSome steps the wall clock of a process by up to twice the window.
+// stepSomeClock steps the wall clock of a process by up to twice the window.
 func (sim *simulation) stepSomeClock() {
 	ps := sim.processes()
 	p := ps[sim.pick(len(ps))]
 	p.clockStep = time.Duration(sim.pick(9)-4) * testWindow / 2
-	sim.logf("the wall clock of %s is stepped: now %s off", p.peer, p.clockStep)
+	sim.logf("the wall clock of %s is stepped: its error is now %s", p.peer, p.clockStep)
 }
 
-// setOffset sets what the process's clock is ahead of the world's.
+// setClockOffset sets how far the process's clock is ahead of the simulated time.
 func (p *process) setClockOffset(sim *simulation, offset time.Duration) {
 	p.clockOffset = offset
 	started := sim.now
@@ -171,8 +173,8 @@
 	}
 }
 
-// now returns the time on the process's clock, which steps of the wall clock do
-// not change.
+// now returns the time on the process's clock, which steps of the wall clock do not
+// affect unless followWallClock is set.
 func (p *process) now(sim *simulation) time.Time {
 	if sim.options.followWallClock {
 		return sim.now.Add(p.clockOffset + p.clockStep)
--- a/internal/coordinator/simulation_net_test.go
+++ b/internal/coordinator/world_net_test.go
@@ -7,27 +7,28 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// conn is a connection between two processes. Messages of one direction arrive in
-// order and are lost only with the connection.
+// conn is a connection between two processes. Messages in one direction arrive in order
+// and are lost only if the connection breaks.
 type conn struct {
 	ends   [2]*process
-	queue  [2][]event // queue[i] has what ends[i] has not handled.
+	queue  [2][]event // queue[i] has the events that ends[i] has not handled.
 	broken bool
-	// silent means that what is sent does not arrive, and nobody notices.
+	// While silent is set, messages are queued but not delivered, and neither end is
+	// notified.
 	silent bool
 }
 
-// item is an event of a connection at one end.
+// event is an event of a connection at one end.
 type event struct {
-	kind    string // kind is up, frame or down.
+	kind    string // One of "up", "frame" and "down".
 	hello   messenger.Hello
-	message []byte // message is the encoded frame.
-	// sent is the frame as its sender has it, where the history checks that the
-	// sender does not change it any more; nil elsewhere.
+	message []byte // The encoded frame.
+	// original is the sender's frame, to check that the sender does not change it after
+	// sending; nil if the history does not check that.
 	original *messenger.Frame
 }
 
-// connect opens a connection between two living processes.
+// connect opens a connection between two running processes.
 func (sim *simulation) connect(a, b *process) {
 	c := &conn{ends: [2]*process{a, b}}
 	c.queue[0] = []event{{kind: "up", hello: b.hello()}}
@@ -51,7 +52,7 @@
 	return h
 }
 
-// linked reports whether an unbroken connection joins the processes.
+// connected reports whether an unbroken connection joins the processes.
 func (sim *simulation) connected(a, b *process) bool {
 	for _, c := range sim.conns {
 		if !c.broken && (c.ends[0] == a && c.ends[1] == b || c.ends[0] == b && c.ends[1] == a) {
@@ -61,7 +62,8 @@
 	return false
 }
 
-// send puts a frame on the connection to a peer; it is lost if there is none.
+// send queues a frame on the connection to a peer; it is lost if there is no
+// connection.
 func (sim *simulation) send(from *process, to messenger.Peer, f *messenger.Frame) {
 	c := from.conns[to]
 	if c == nil || c.broken {
@@ -90,8 +92,8 @@
 	return bytes.Clone(sim.buf.Bytes())
 }
 
-// decode returns the frame of a message. In production a connection encodes a
-// frame some time after it was sent, so that the sender must leave it as it is.
+// decode returns the frame of a message. In production a connection encodes a frame
+// some time after it was sent, so the sender must not change it.
 func (sim *simulation) decode(e event) *messenger.Frame {
 	if e.original != nil && !bytes.Equal(sim.encode(e.original), e.message) {
 		sim.oracle.fail("a frame was changed after it was sent")
@@ -103,8 +105,8 @@
 	return out
 }
 
-// cutConn breaks a connection. Of what is under way in each direction some first
-// part still arrives.
+// breakConn breaks a connection. In each direction a random prefix of the messages in
+// flight still arrives.
 func (sim *simulation) breakConn(c *conn) {
 	c.broken = true
 	sim.logf("the connection of %s and %s breaks", c.ends[0].peer, c.ends[1].peer)
@@ -114,7 +116,7 @@
 	}
 }
 
-// deliverable returns the ends at which something can be handled now.
+// deliverable returns the ends that can handle an event now.
 func (sim *simulation) deliverable() []end {
 	var out []end
 	kept := sim.conns[:0]
@@ -145,7 +147,7 @@
 	side int
 }
 
-// deliver lets a process handle the next event of a connection.
+// deliver makes a process handle the next event of a connection.
 func (sim *simulation) deliver(at end) {
 	p, c := at.conn.ends[at.side], at.conn
 	peer := c.ends[1-at.side].peer
@@ -157,7 +159,7 @@
 			sim.peerDown(p, peer)
 		}
 		p.conns[peer] = c
-		sim.logf("%s sees %s", p.peer, peer)
+		sim.logf("%s is connected to %s", p.peer, peer)
 		if p.guard != nil {
 			p.guard.EntryUp(p.now(sim), peer)
 		} else {
@@ -167,7 +169,7 @@
 		return
 	case event.kind == "down":
 		delete(p.conns, peer)
-		sim.logf("%s loses %s", p.peer, peer)
+		sim.logf("%s is disconnected from %s", p.peer, peer)
 		sim.peerDown(p, peer)
 	default:
 		f := sim.decode(event)
@@ -194,7 +196,7 @@
 	}
 }
 
-// describe writes a frame for a trace.
+// describe formats a frame for a trace.
 func (sim *simulation) describe(f *messenger.Frame) string {
 	var out string
 	add := func(format string, args ...any) { out += " " + fmt.Sprintf(format, args...) }
--- a/internal/coordinator/simulation_oracle_test.go
+++ b/internal/coordinator/world_oracle_test.go
@@ -11,18 +11,18 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// answerSlack is how long after its deadline a request may be answered, counted
-// on the clock of an entry that acts.
+// answerSlack is how long after its deadline a request may be answered, on the clock of
+// an active entry.
 const answerSlack = 100 * time.Millisecond
 
-// submission is what callers made of one submission id.
+// submission is a submission id with what its callers submit under it.
 type submission struct {
 	id          identifier.Submission
 	name        string
 	key         string
-	payloads    [][]byte // payload has one entry a task.
+	payloads    [][]byte // One per task.
 	timeout     time.Duration
-	idFromEntry bool // fresh means that an entry made the id and its caller does not know it.
+	idFromEntry bool // An entry generated the id, and the caller does not know it.
 }
 
 // request is one request for a submission.
@@ -30,24 +30,25 @@
 	submission *submission
 	kind       coordinator.RequestKind
 	entry      *process
-	deadline   time.Time // deadline is on the entry's clock.
+	deadline   time.Time // On the entry's clock.
 	answer     string
 	reason     string
-	abandoned  bool // abandoned means that the caller went away.
+	abandoned  bool // The caller has disconnected.
 }
 
-// oracle knows what started and what was answered, and finds what must not be.
+// oracle records which tasks started and which answers were given, and detects
+// violations of the rules.
 type oracle struct {
 	submissions []*submission
 	names       map[identifier.Submission]string
 	keys        map[identifier.Submission]string
-	requests    []*request // requests is indexed by ticket.
+	requests    []*request // Indexed by ticket.
 	starts      map[guard.TaskRef]int
 	ran         map[identifier.Submission]bool
 	notRun      map[identifier.Submission]bool
 	keyRan      map[string]identifier.Submission
 	outcomes    map[string]int
-	violation   string // violation is the first breach of a rule; empty if there is none.
+	violation   string // The first violation of a rule; empty if there is none.
 }
 
 func (o *oracle) init() {
@@ -81,7 +82,7 @@
 	return uint64(len(o.requests) - 1)
 }
 
-// started checks rules 1, 3 and 4 at the start of a task.
+// started checks rules 1, 3 and 4 when a task starts.
 func (o *oracle) started(ref guard.TaskRef) {
 	o.starts[ref]++
 	o.ran[ref.Submission] = true
@@ -102,10 +103,10 @@
 	o.keyRan[key] = ref.Submission
 }
 
-// answered checks rules 2 and 3 at the answer to a request.
+// answered checks rules 2 and 3 when a request is answered.
 func (o *oracle) answered(p *process, a coordinator.TicketAnswer) {
 	if a.Ticket >= uint64(len(o.requests)) {
-		o.fail("rule 2: an answer for the unknown ticket %d", a.Ticket)
+		o.fail("rule 2: an answer has the unknown ticket %d", a.Ticket)
 		return
 	}
 	r := o.requests[a.Ticket]
@@ -135,13 +136,13 @@
 	}
 }
 
-// otherBody is the payload of the first task of the body that callers seldom send
-// under an id of another one.
+// otherBody is the payload of the first task of the different body that callers rarely
+// submit under the id of another one.
 var otherBody = []byte("other body")
 
-// checkComplete checks that an answer has the result of every task of the
-// request's own body. A request that brings no body asks for whatever runs under
-// the id, which may be the other body.
+// checkComplete checks that an answer has the result of every task of the request's own
+// body. A request without a body asks for the job that runs under the id, which may
+// have the other body.
 func (o *oracle) checkComplete(r *request, a coordinator.TicketAnswer) {
 	s := r.submission
 	if len(a.Answer.Results) != len(s.payloads) {
@@ -156,8 +157,8 @@
 	}
 }
 
-// checkDeadlines checks that an entry that has just noticed the time owes no
-// answer.
+// checkDeadlines checks, after a tick of an entry, that none of its requests is
+// unanswered past its deadline.
 func (o *oracle) checkDeadlines(sim *simulation, p *process) {
 	for ticket, r := range o.requests {
 		if r.entry == p && r.unanswered() && p.now(sim).After(r.deadline.Add(answerSlack)) {
@@ -166,7 +167,7 @@
 	}
 }
 
-// checkEnd checks that every request at a living entry was answered.
+// checkEnd checks that every request at a running entry was answered.
 func (o *oracle) checkEnd() {
 	for ticket, r := range o.requests {
 		if r.entry.alive && r.unanswered() {
@@ -175,7 +176,7 @@
 	}
 }
 
-// paid reports whether every request at a living entry was answered.
+// allAnswered reports whether every request at a running entry was answered.
 func (o *oracle) allAnswered() bool {
 	for _, r := range o.requests {
 		if r.entry.alive && r.unanswered() {
@@ -185,14 +186,14 @@
 	return true
 }
 
-// checkGone checks that an entry that shuts down owes no answer.
+// checkShutdown checks that an entry that shuts down has answered all its requests.
 func (o *oracle) checkShutdown(p *process) {
 	for ticket, r := range o.requests {
 		if r.entry == p && r.unanswered() {
-			o.fail("rule 5: %s shut down and ticket %d of %s had no answer", p.peer, ticket, r.submission.name)
+			o.fail("rule 5: %s shut down while ticket %d of %s had no answer", p.peer, ticket, r.submission.name)
 		}
 	}
 }
 
-// owed reports whether the request must still be answered.
+// unanswered reports whether the request must still be answered.
 func (r *request) unanswered() bool { return r.answer == "" && !r.abandoned }
--- a/internal/coordinator/simulation_test.go
+++ b/internal/coordinator/world_test.go
@@ -25,73 +25,73 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// world is a whole system with virtual time: entries and agents as their real
-// state machines, callers, upstreams, connections and the platform's table. A
-// scheduler picks what happens next from a source of choices, so that a history is
-// repeated by repeating its choices.
+// simulation is a whole system with virtual time. Entries and agents are the real state
+// machines; callers, upstreams, connections and the platform's table are simulated. A
+// scheduler takes each decision from a source of choices, so that repeating the choices
+// repeats the history.
 type simulation struct {
-	pick         func(n int) int // pick returns the next choice, from 0 to n-1.
+	pick         func(n int) int // Returns the next choice, from 0 to n-1.
 	options      simulationOptions
 	now          time.Time
-	entries      []*process // entries has one process a seat; a dead one is replaced in place.
+	entries      []*process // A terminated process is replaced at its index.
 	agents       []*process
-	conns        []*conn // conns has the connections that some side has not seen end.
+	conns        []*conn // Connections whose end some side has not noticed.
 	store        *emulator.Platform
 	calls        []*storeCall
-	platformDown bool // down means that the platform answers nothing.
-	// blocked reports whether two processes cannot connect, lose whether a call of
-	// the platform is lost, and stall whether it has no end; nil means none does.
+	platformDown bool // The platform does not answer.
+	// blocked reports whether two processes cannot connect, losesCall whether a
+	// platform call is lost, and stallsCall whether it never returns; nil means never.
 	blocked    func(a, b *process) bool
 	losesCall  func(*storeCall) bool
 	stallsCall func(*storeCall) bool
-	// sent is told of every frame that is sent; nil if nobody counts.
+	// onSend is called with every frame that is sent; may be nil.
 	onSend     func(*messenger.Frame)
 	oracle     oracle
 	startCount int
 	ids        uint64
 	steps      int
-	buf        bytes.Buffer     // buf is where frames are encoded.
-	trace      *strings.Builder // trace is nil if no trace is wanted.
+	buf        bytes.Buffer     // Buffer for encoding frames.
+	trace      *strings.Builder // nil if no trace is wanted.
 	regionSplit
 }
 
-// worldOptions describe a history.
+// simulationOptions are the parameters of a history.
 type simulationOptions struct {
 	entries, agents int
 	slots           int
-	maxDeliveries   int // speed bounds the messages that arrive in one step.
-	faultPercent    int // faults is the share of steps that are faults, in percent.
-	// rules and guardRules switch rules off; nil leaves all on.
+	maxDeliveries   int // Limit of the messages that arrive in one step.
+	faultPercent    int // Percentage of steps that are faults.
+	// rules, ownerRules and guardRules switch rules off; nil leaves all on.
 	rules      func(*coordinator.Rules)
 	ownerRules func(*owner.Rules)
 	guardRules func(*guard.Rules)
-	// limits changes the limits of entries; nil leaves them.
+	// limits changes the limits of entries; may be nil.
 	limits func(*coordinator.Limits)
 	simulationExtras
 }
 
-// process is one run of an entry or agent.
+// process is one incarnation of an entry or agent.
 type process struct {
 	peer        messenger.Peer
 	index       int
 	role        messenger.Role
 	region      string
-	clockOffset time.Duration // offset is what its clock is ahead of the world's.
-	clockStep   time.Duration // step is by how much its wall clock was stepped since its birth.
+	clockOffset time.Duration // How far its clock is ahead of the simulated time.
+	clockStep   time.Duration // Sum of the steps of its wall clock since its start.
 	clock       timer.Clock
 	alive       bool
 	paused      bool
-	leaving     bool // leaving means that it drains.
+	leaving     bool // An entry that drains, or an agent whose upstream is leaving.
 	conns       map[messenger.Peer]*conn
-	// split is the side of a split network that the process is on; processes of
+	// side is the side of a split network on which the process is. Processes of
 	// different sides cannot connect, and only side 0 reaches the platform.
 	side    int
 	entry   *coordinator.Coordinator
 	guard   *guard.Guard
-	running []guard.Invocation // running has the calls of the upstream beside the agent.
+	running []guard.Invocation // Running calls of the agent's upstream.
 }
 
-// storeCall is a call of the platform that is under way.
+// storeCall is a platform call in flight.
 type storeCall struct {
 	from  *process
 	read  *registrar.Read
@@ -101,7 +101,7 @@
 var (
 	simulationStart = time.Unix(1_700_000_000, 0)
 
-	// worldLimits are short, so that a history of few steps has takeovers.
+	// testLimits are short, so that even short histories have takeovers.
 	testLimits = coordinator.Limits{
 		Owner: owner.Limits{
 			Window:           testWindow,
@@ -131,7 +131,7 @@
 		EntryHeartbeatInterval: 50 * time.Millisecond,
 		MinConnectionAge:       100 * time.Millisecond,
 		AnswerGracePeriod:      20 * time.Millisecond,
-		// Records of a few jobs take several pieces, and those of many partitions
+		// The records of a few jobs take several pieces, and those of many partitions
 		// several handovers.
 		HandoverBytes:      4_000,
 		HandoverPieceBytes: 500,
@@ -223,10 +223,10 @@
 	return p
 }
 
-// acts reports whether the process handles events.
+// active reports whether the process handles events.
 func (p *process) active() bool { return p.alive && !p.paused }
 
-// flush carries out what a process decided.
+// flush carries out the actions that a process has decided on.
 func (sim *simulation) flush(p *process) {
 	if p.role == messenger.RoleAgent {
 		sim.flushAgent(p)
@@ -284,7 +284,7 @@
 	}
 }
 
-// resultOf returns what the upstream answers to a payload.
+// resultOf returns the upstream's result for a payload.
 func resultOf(payload []byte) []byte { return append([]byte("done:"), payload...) }
 
 func (sim *simulation) announce(p *process) {
@@ -298,7 +298,7 @@
 	})
 }
 
-// tick lets a process notice the time.
+// tick makes a process handle the passing of time.
 func (sim *simulation) tick(p *process) {
 	if p.role == messenger.RoleAgent {
 		for _, call := range p.running {
@@ -316,8 +316,8 @@
 	sim.leaveIfDrained(p)
 }
 
-// runCall carries out a call of the platform. Fault 0 is none; 1 loses the call,
-// 2 loses the answer, 3 loses the answer and lets the call take effect later.
+// runCall carries out a platform call. Fault 0 is none; 1 loses the call, 2 loses the
+// answer, 3 loses the answer and applies the call later.
 func (sim *simulation) runCall(i, fault int) {
 	c := sim.calls[i]
 	sim.calls = append(sim.calls[:i:i], sim.calls[i+1:]...)
@@ -347,18 +347,18 @@
 	if c.read != nil {
 		c.from.entry.StoreRead(c.from.now(sim), c.read.ID, rows, err)
 	} else {
-		sim.logf("%s learns of write %d: applied=%t err=%v", c.from.peer, c.write.ID, outcome.Applied, err)
+		sim.logf("%s gets the outcome of write %d: applied=%t err=%v", c.from.peer, c.write.ID, outcome.Applied, err)
 		c.from.entry.StoreWritten(c.from.now(sim), c.write.ID, outcome, err)
 	}
 	sim.flush(c.from)
 }
 
-// loses reports whether the platform cannot be reached for a call.
+// callIsLost reports whether a call does not reach the platform.
 func (sim *simulation) callIsLost(c *storeCall) bool {
 	return sim.platformDown || c.from != nil && (c.from.side != 0 || sim.lacksPlatform(c.from)) || sim.losesCall != nil && sim.losesCall(c)
 }
 
-// newID returns an id made at the given time.
+// newID returns an id with the given time, in a partition that accept returns true for.
 func (sim *simulation) newID(at time.Time, accept func(identifier.Partition) bool) identifier.Submission {
 	for {
 		sim.ids++
