--- a/internal/coordinator/declared_test.go
+++ b/internal/coordinator/declared_test.go
@@ -25,7 +25,8 @@
 	return rosters[0]
 }
 
-// declare writes the roster as a declaration by an operator does.
+// declare writes a roster in which agents are declared dead, as an operator's command
+// does.
 func (sim *simulation) declare(dead ...messenger.Peer) {
 	current := sim.roster()
 	next, unknown := enroller.Declare(current.Roster, dead, sim.now)
@@ -81,7 +82,7 @@
 func TestMajorityOfWitnessesDead(t *testing.T) {
 	j := newStuckJob(t)
 	sim := j.sim
-	neverSubmitted := sim.newSubmission(j.partition, "", 1, time.Second) // Never submitted; only the dead agents could prove it.
+	neverSubmitted := sim.newSubmission(j.partition, "", 1, time.Second) // Without the dead agents' records, no entry can tell that it never ran.
 	if sim.runUntil(4*time.Second, j.active); j.active() {
 		t.Fatal("the partition is active without a majority of the witnesses")
 	}
--- a/internal/coordinator/directed_test.go
+++ b/internal/coordinator/directed_test.go
@@ -209,19 +209,19 @@
 	s := sim.newSubmission(0, "", 6, time.Second)
 	sim.submitTo(old, s, coordinator.RequestSubmit)
 	old.paused = true
-	silence := func(silent bool) {
+	setSilent := func(silent bool) {
 		for _, c := range sim.conns {
 			c.silent = silent && (c.ends[0] == old || c.ends[1] == old)
 		}
 	}
-	silence(true)
+	setSilent(true)
 	others := sim.others(old)
 	if !sim.stepUntil(3*time.Second, func() bool { return sim.ownerOf(0, others) != nil }) {
 		return
 	}
 	sim.submitTo(sim.ownerOf(0, others), s, coordinator.RequestSubmit)
 	sim.runFor(500 * time.Millisecond)
-	silence(false)
+	setSilent(false)
 	sim.runFor(time.Second)
 }
 
--- a/internal/coordinator/drain_test.go
+++ b/internal/coordinator/drain_test.go
@@ -65,10 +65,10 @@
 	mustSet(t, "rapid.nofailfile", "true")
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(n int) int { return rapid.IntRange(0, max(n, 1)-1).Draw(t, "") }
-		sim := newSimulation(pick, simulationOptions{entries: 3, agents: 3, slots: 2, maxDeliveries: 20})
+		sim := newSimulation(pick, simulationOptions{entries: 3, agents: 3, slots: 2, maxEventsPerStep: 20})
 		sim.trace = new(strings.Builder)
 		sim.runUntil(time.Second, sim.serving)
-		m := drainMachine{world: sim, drained: make(map[*process]bool)}
+		m := drainMachine{sim: sim, drained: make(map[*process]bool)}
 		t.Repeat(map[string]func(*rapid.T){
 			"":        m.check,
 			"drain":   func(*rapid.T) { m.setDrained(true) },
@@ -92,18 +92,18 @@
 
 // drainMachine is a simulation and the set of its drained entries.
 type drainMachine struct {
-	world   *simulation
+	sim     *simulation
 	drained map[*process]bool
 }
 
 func (m *drainMachine) check(t *rapid.T) {
-	if m.world.oracle.violation != "" {
-		t.Fatalf("%s\n%s", m.world.oracle.violation, m.world.trace)
+	if m.sim.oracle.violation != "" {
+		t.Fatalf("%s\n%s", m.sim.oracle.violation, m.sim.trace)
 	}
 }
 
 func (m *drainMachine) setDrained(drained bool) {
-	sim := m.world
+	sim := m.sim
 	p := sim.anyOf(sim.entries, (*process).active)
 	if p == nil {
 		return
@@ -122,7 +122,7 @@
 // work runs some steps without faults.
 func (m *drainMachine) work() {
 	for range 10 {
-		m.world.step()
+		m.sim.step()
 	}
 }
 
@@ -130,7 +130,7 @@
 // none. While every entry is drained, each keeps the partitions that no other may take.
 func (m *drainMachine) misplacedPartition() string {
 	var live []messenger.Peer
-	for _, p := range m.world.entries {
+	for _, p := range m.sim.entries {
 		if !m.drained[p] {
 			live = append(live, p.peer)
 		}
@@ -139,10 +139,10 @@
 		return ""
 	}
 	for x := range identifier.Partition(identifier.Partitions) {
-		want := claimer.PreferredOwner(x, live)
-		for _, p := range m.world.entries {
-			if p.entry.Owns(x) != (p.peer == want) {
-				return "a partition is not at " + string(want) + ", or also at " + string(p.peer)
+		preferred := claimer.PreferredOwner(x, live)
+		for _, p := range m.sim.entries {
+			if p.entry.Owns(x) != (p.peer == preferred) {
+				return "a partition is not at " + string(preferred) + ", or also at " + string(p.peer)
 			}
 		}
 	}
--- a/internal/coordinator/fuzz_test.go
+++ b/internal/coordinator/fuzz_test.go
@@ -132,11 +132,11 @@
 // drawOptions draws the sizes of a history and how many faults it has.
 func drawOptions(pick func(int) int) simulationOptions {
 	return simulationOptions{
-		entries:       1 + pick(3),
-		agents:        1 + pick(4),
-		slots:         1 + pick(2),
-		maxDeliveries: [...]int{4, 20, 60}[pick(3)],
-		faultPercent:  [...]int{0, 4, 12, 30}[pick(4)],
+		entries:          1 + pick(3),
+		agents:           1 + pick(4),
+		slots:            1 + pick(2),
+		maxEventsPerStep: [...]int{4, 20, 60}[pick(3)],
+		faultPercent:     [...]int{0, 4, 12, 30}[pick(4)],
 	}
 }
 
--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -131,15 +131,15 @@
 		if !c.draining && c.recoverer.Uncertainty(now, p).RecordsIncomplete {
 			continue
 		}
-		want := c.preferredOwners.Owner(p, live)
-		if want == "" || want == c.self.Peer || !c.eligibleForHandover(now, want) || (to != "" && want != to) {
+		preferred := c.preferredOwners.Owner(p, live)
+		if preferred == "" || preferred == c.self.Peer || !c.eligibleForHandover(now, preferred) || (to != "" && preferred != to) {
 			continue
 		}
 		bytes += c.owner.PartitionBytes(p)
 		if len(out) > 0 && bytes > c.limits.HandoverBytes {
 			break
 		}
-		to = want
+		to = preferred
 		out = append(out, p)
 		if len(out) == maxHandoverPartitions {
 			break
--- a/internal/coordinator/handover_test.go
+++ b/internal/coordinator/handover_test.go
@@ -18,7 +18,8 @@
 		jobs     = 600
 		tasks    = 20
 		taskSize = 1000
-		// The last job of a piece may exceed the limit, and CBOR adds overhead.
+		// Besides a piece, a frame may carry other messages, such as answers; allow the
+		// size of two jobs for them.
 		maxBytes = coordinator.DefaultHandoverPieceBytes + 2*tasks*taskSize
 	)
 	sim := newSimulation(func(n int) int { return n - 1 }, simulationOptions{
--- a/internal/coordinator/roster.go
+++ b/internal/coordinator/roster.go
@@ -55,7 +55,7 @@
 		Current:         current,
 		Connected:       c.connectedAgents(),
 		UnreachableFor:  func(peer messenger.Peer) time.Duration { return c.disconnectedFor(now, peer) },
-		MinVersionInUse: c.lowestAdopted(),
+		MinVersionInUse: c.lowestRosterInUse(),
 		Now:             now,
 	})
 	if !changed {
@@ -83,9 +83,9 @@
 	return now.Sub(since)
 }
 
-// lowestAdopted returns the lowest roster version on which an entry of this region
+// lowestRosterInUse returns the lowest roster version on which an entry of this region
 // relies.
-func (c *Coordinator) lowestAdopted() uint64 {
+func (c *Coordinator) lowestRosterInUse() uint64 {
 	lowest := c.self.RosterVersion
 	for _, e := range c.registrar.Entries() {
 		if e.Region == c.self.Region {
--- a/internal/coordinator/world_actions_test.go
+++ b/internal/coordinator/world_actions_test.go
@@ -43,13 +43,13 @@
 	}
 	switch n := sim.pick(100); {
 	case n < 45:
-		sim.deliverSome(1 + sim.pick(sim.options.maxDeliveries))
+		sim.deliverSome(1 + sim.pick(sim.options.maxEventsPerStep))
 	case n < 60:
 		sim.elapse(time.Duration(1+sim.pick(40)) * time.Millisecond)
 	case n < 63:
 		sim.elapse(time.Duration(100+sim.pick(900)) * time.Millisecond)
 	case n < 72:
-		sim.runSomeCalls(1 + sim.pick(sim.options.maxDeliveries))
+		sim.runSomeCalls(1 + sim.pick(sim.options.maxEventsPerStep))
 	case n < 82:
 		sim.endSomeTask()
 	case n < 90:
--- a/internal/coordinator/world_net_test.go
+++ b/internal/coordinator/world_net_test.go
@@ -119,25 +119,25 @@
 // deliverable returns the ends that can handle an event now.
 func (sim *simulation) deliverable() []end {
 	var out []end
-	kept := sim.conns[:0]
+	open := sim.conns[:0]
 	for _, c := range sim.conns {
-		gone := true
+		closed := true
 		for i := range c.queue {
 			if !c.ends[i].alive {
 				c.queue[i] = nil
 			}
 			if len(c.queue[i]) > 0 || !c.broken {
-				gone = false
+				closed = false
 			}
 			if len(c.queue[i]) > 0 && c.ends[i].active() && !c.silent {
 				out = append(out, end{c, i})
 			}
 		}
-		if !gone {
-			kept = append(kept, c)
+		if !closed {
+			open = append(open, c)
 		}
 	}
-	sim.conns = kept
+	sim.conns = open
 	return out
 }
 
--- a/internal/coordinator/world_test.go
+++ b/internal/coordinator/world_test.go
@@ -57,10 +57,10 @@
 
 // simulationOptions are the parameters of a history.
 type simulationOptions struct {
-	entries, agents int
-	slots           int
-	maxDeliveries   int // Limit of the messages that arrive in one step.
-	faultPercent    int // Percentage of steps that are faults.
+	entries, agents  int
+	slots            int
+	maxEventsPerStep int // Limit of the messages or platform calls handled in one step.
+	faultPercent     int // Percentage of steps that are faults.
 	// rules, ownerRules and guardRules switch rules off; nil leaves all on.
 	rules      func(*coordinator.Rules)
 	ownerRules func(*owner.Rules)
@@ -77,7 +77,7 @@
 	role        messenger.Role
 	region      string
 	clockOffset time.Duration // How far its clock is ahead of the simulated time.
-	clockStep   time.Duration // Sum of the steps of its wall clock since its start.
+	clockStep   time.Duration // How far its wall clock has been stepped since its start.
 	clock       timer.Clock
 	alive       bool
 	paused      bool
