--- a/internal/coordinator/agents.go
+++ b/internal/coordinator/agents.go
@@ -12,63 +12,66 @@
 	"sardinelock.dev/sardinelock/internal/registrar"
 )
 
-// agentLink is what the coordinator keeps for a connected agent.
+// agentLink is the state of a connected agent.
 type agentLink struct {
-	peer     messenger.Peer
-	member   registrar.Member
-	frame    *messenger.Frame // frame gathers what goes out at the next Take.
-	gathered *gathered        // gathered lists the links that have a frame.
-	settled  []messenger.Settlement
-	admitted bool                // admitted means that the agent was told that it is in the roster.
-	expelled bool                // expelled means that the agent was told that it was declared dead.
-	capacity *messenger.Capacity // capacity is the latest one; nil until the agent sent one.
-	credit   *messenger.Credit   // credit is the latest one; nil until the agent sent one.
-	ping     uint64
-	pings    []sentPing    // pings are those without an echo, oldest first.
-	clock    time.Duration // clock is the agent's clock in its latest message.
-	clockAt  time.Time     // clockAt is when that message arrived.
+	peer             messenger.Peer
+	member           registrar.Member
+	pending          *messenger.Frame // The frame for the next Take; nil if nothing is queued.
+	unsent           *unsentFrames    // Shared by all links: those with a pending frame.
+	settlements      []messenger.Settlement
+	admitted         bool                // Set once an Admit was sent, until the agent is expelled.
+	expelled         bool                // Set once an Expel was sent.
+	capacity         *messenger.Capacity // The latest one received; nil before the first.
+	credit           *messenger.Credit   // The latest one received; nil before the first.
+	lastPing         uint64
+	outstandingPings []sentPing    // Pings without an echo, oldest first.
+	agentClock       time.Duration // The agent's monotonic clock in its latest contact.
+	agentClockAt     time.Time     // Local time at which that contact arrived.
 }
 
-// sentPing is when a ping was sent.
+// sentPing records the time at which a ping was sent.
 type sentPing struct {
 	number uint64
 	at     time.Time
 }
 
-// gather returns the frame that gathers what goes to the agent.
-func (a *agentLink) gather() *messenger.Frame {
-	if a.frame == nil {
-		a.frame = &messenger.Frame{}
-		a.gathered.links = append(a.gathered.links, a)
-	}
-	return a.frame
+// pendingFrame returns the frame for the agent that the next Take sends, creating it if
+// there is none.
+func (a *agentLink) pendingFrame() *messenger.Frame {
+	if a.pending == nil {
+		a.pending = &messenger.Frame{}
+		a.unsent.links = append(a.unsent.links, a)
+	}
+	return a.pending
 }
 
-// gathered lists the agents that a frame waits for, so that a flush does not look
-// at every agent.
-type gathered struct {
+// unsentFrames lists the agents with a pending frame, so that flushing does not visit
+// every agent.
+type unsentFrames struct {
 	links []*agentLink
 }
 
-// take returns the links in the order of their names and clears the list.
-func (g *gathered) take() []*agentLink {
+// takeSorted returns the links sorted by peer name and clears the list.
+func (g *unsentFrames) takeSorted() []*agentLink {
 	out := g.links
 	g.links = nil
 	slices.SortFunc(out, func(a, b *agentLink) int { return strings.Compare(string(a.peer), string(b.peer)) })
 	return out
 }
 
-// settle lets a settlement ride on the next frame, without causing one.
-func (a *agentLink) settle(s identifier.Submission) {
-	a.settled = append(a.settled, messenger.Settlement{Submission: s})
+// queueSettlement adds a settlement to the next frame without causing a frame to be
+// sent.
+func (a *agentLink) queueSettlement(s identifier.Submission) {
+	a.settlements = append(a.settlements, messenger.Settlement{Submission: s})
 }
 
-// echo returns when the echoed ping was sent; false if it is not known.
-func (a *agentLink) echo(number uint64) (time.Time, bool) {
-	for i := len(a.pings) - 1; i >= 0; i-- {
-		if a.pings[i].number == number {
-			at := a.pings[i].at
-			a.pings = slices.Delete(a.pings, 0, i+1)
+// takePing returns when the echoed ping was sent, and forgets it and all older pings.
+// It returns false if the ping is not outstanding.
+func (a *agentLink) takePing(number uint64) (time.Time, bool) {
+	for i := len(a.outstandingPings) - 1; i >= 0; i-- {
+		if a.outstandingPings[i].number == number {
+			at := a.outstandingPings[i].at
+			a.outstandingPings = slices.Delete(a.outstandingPings, 0, i+1)
 			return at, true
 		}
 	}
@@ -76,21 +79,21 @@
 }
 
 func (c *Coordinator) agentUp(now time.Time, h messenger.Hello) {
-	c.rosterPace.changed()
+	c.rosterCheck.trigger()
 	if h.Region != c.self.Region {
 		return
 	}
 	a := &agentLink{
-		peer:     h.Peer,
-		gathered: &c.gathered,
-		member:   registrar.Member{Peer: h.Peer, DataCentre: h.DataCentre, Rack: h.Rack},
+		peer:   h.Peer,
+		unsent: &c.unsent,
+		member: registrar.Member{Peer: h.Peer, DataCentre: h.DataCentre, Rack: h.Rack},
 	}
 	c.agents[h.Peer] = a
 	c.agentOrder = insertPeer(c.agentOrder, h.Peer)
-	delete(c.away, h.Peer)
+	delete(c.disconnectedSince, h.Peer)
 	for p, epoch := range h.Epochs {
 		if p < identifier.Partitions {
-			c.sawEpoch(now, identifier.Partition(p), epoch)
+			c.observeEpoch(now, identifier.Partition(p), epoch)
 		}
 	}
 	c.owner.AgentUp(h.Peer)
@@ -99,21 +102,21 @@
 	if roster := c.registrar.Roster(c.self.Region); slices.Contains(roster.DeclaredDead(), a.peer) {
 		c.expel(now, a)
 	}
-	a.gather().Routes = &messenger.Routes{Entries: c.regionEntries()}
+	a.pendingFrame().Routes = &messenger.Routes{Entries: c.regionEntries()}
 }
 
 func (c *Coordinator) agentDown(now time.Time, peer messenger.Peer) {
-	c.rosterPace.changed()
+	c.rosterCheck.trigger()
 	delete(c.agents, peer)
-	c.bequestsAgentDown(peer)
+	c.recordTransfersAgentDown(peer)
 	c.agentOrder = removePeer(c.agentOrder, peer)
-	c.away[peer] = now
+	c.disconnectedSince[peer] = now
 	c.leaser.Forget(peer)
 	c.owner.AgentDown(now, peer)
 	c.placer.AgentDown(now, peer)
 }
 
-// admit tells an agent that it is in the roster, and lets the placer use it.
+// admit tells an agent that it is in the roster and makes it available to the placer.
 func (c *Coordinator) admit(now time.Time, a *agentLink) {
 	roster := c.registrar.Roster(c.self.Region)
 	if a.admitted || !c.rules.Enrolled(roster.HasMember(a.peer)) {
@@ -124,7 +127,7 @@
 	for p := range epochs {
 		epochs[p] = c.registrar.Partition(identifier.Partition(p)).Epoch
 	}
-	a.gather().Admit = &messenger.Admit{RosterVersion: roster.Version, Epochs: epochs}
+	a.pendingFrame().Admit = &messenger.Admit{RosterVersion: roster.Version, Epochs: epochs}
 	c.placer.AgentUp(now, a.peer, placer.Location{
 		Region:     c.self.Region,
 		DataCentre: a.member.DataCentre,
@@ -138,28 +141,29 @@
 	}
 }
 
-// expel tells a connected agent that an operator has declared it dead, and gives it
-// no more work. Its records are still welcome.
+// expel tells a connected agent that an operator has declared it dead, and sends it no
+// more work. Its records are still accepted.
 func (c *Coordinator) expel(now time.Time, a *agentLink) {
 	if a == nil || a.expelled {
 		return
 	}
 	a.expelled = true
-	a.gather().Expel = &messenger.Expel{RosterVersion: c.registrar.Roster(c.self.Region).Version}
+	a.pendingFrame().Expel = &messenger.Expel{RosterVersion: c.registrar.Roster(c.self.Region).Version}
 	if a.admitted {
 		a.admitted = false
 		c.placer.AgentDown(now, a.peer)
 	}
 }
 
-// fence sends an agent the epochs of partitions that this entry owns. An agent
-// whose records are awaited gives all of them, any other only what is unsettled.
-// What goes out at one time is one fence, which the agent answers as a whole.
+// fence sends an agent the epochs of partitions that this entry owns. An agent whose
+// records are still missing here sends all of them in reply; any other sends only
+// unsettled ones. All partitions that go out in one frame form one fence, which the
+// agent answers as a whole.
 func (c *Coordinator) fence(a *agentLink, partitions []messenger.PartitionEpoch) {
 	if len(partitions) == 0 {
 		return
 	}
-	f := a.gather()
+	f := a.pendingFrame()
 	if f.Fence == nil {
 		f.Fence = &messenger.Fence{Partitions: slices.Clone(partitions), UnsettledOnly: true}
 	}
@@ -171,9 +175,9 @@
 	f.Fence.UnsettledOnly = f.Fence.UnsettledOnly && !c.recoverer.AwaitsRecords(a.peer)
 }
 
-// fenceAll sends every agent the epochs of partitions. Only those that are gained
-// or resumed are sent: a fence makes an agent refuse the starts of its partitions
-// that wait there.
+// fenceAll sends every agent the epochs of partitions. Callers pass only partitions
+// that were gained or resumed, because a fence makes an agent refuse the starts of its
+// partitions that are queued there.
 func (c *Coordinator) fenceAll(partitions []messenger.PartitionEpoch) {
 	for _, peer := range c.agentOrder {
 		c.fence(c.agents[peer], partitions)
@@ -196,10 +200,10 @@
 		c.receiveFenced(now, a, f.Fenced)
 	}
 	for i := range f.RecordTransfers {
-		c.receiveBequest(a, f.RecordTransfers[i])
+		c.receiveRecordTransfer(a, f.RecordTransfers[i])
 	}
 	for i := range f.RecordTransferStatuses {
-		c.receiveBequeathed(now, a, &f.RecordTransferStatuses[i])
+		c.receiveRecordTransferStatus(now, a, &f.RecordTransferStatuses[i])
 	}
 	for i := range f.Results {
 		c.receiveResult(now, a, &f.Results[i])
@@ -209,18 +213,18 @@
 	}
 }
 
-// receiveContact applies the epochs that an agent has raised before it counts
-// the agent's answer: an answer from an agent that knows a higher epoch of a
+// receiveContact applies the epochs that an agent has raised before it counts the echo
+// as a confirmation of the lease: an echo from an agent that knows a higher epoch of a
 // partition proves nothing for that partition.
 func (c *Coordinator) receiveContact(now time.Time, a *agentLink, m *messenger.Contact) {
-	a.clock = m.Clock
-	a.clockAt = now
+	a.agentClock = m.Clock
+	a.agentClockAt = now
 	for _, raised := range m.Raised {
 		if int(raised.Partition) < identifier.Partitions {
-			c.sawEpoch(now, raised.Partition, raised.Epoch)
+			c.observeEpoch(now, raised.Partition, raised.Epoch)
 		}
 	}
-	if sent, ok := a.echo(m.Echo); ok {
+	if sent, ok := a.takePing(m.Echo); ok {
 		c.leaser.Confirmed(a.peer, sent)
 	}
 }
@@ -231,10 +235,11 @@
 		if int(f.Partition) >= identifier.Partitions {
 			return
 		}
-		c.sawEpoch(now, f.Partition, f.Epoch)
+		c.observeEpoch(now, f.Partition, f.Epoch)
 		if f.Epoch != c.recoverer.Epoch(f.Partition) || c.recoverer.Phase(f.Partition) == recoverer.PhaseStopped {
-			// What is being handed over is known from its export alone: a job made
-			// from records would hide it when the partition is resumed.
+			// The state of a partition in handover comes from its export alone: a job
+			// created from records would hide the exported one if the partition is
+			// resumed.
 			continue
 		}
 		for _, record := range f.Records {
@@ -261,34 +266,34 @@
 	c.owner.Result(now, a.peer, r)
 }
 
-// receiveCancelAck frees the places of tasks that will not start any more.
+// receiveCancelAck releases the slots of tasks that will not start.
 func (c *Coordinator) receiveCancelAck(now time.Time, a *agentLink, ack *messenger.CancelAck) {
 	c.placer.Cancelled(now, a.peer, ack.Submission, ack.Started)
 }
 
-// pingWitnesses asks the witnesses whose answers grow old.
+// pingWitnesses sends a ping to each witness whose confirmation needs to be renewed.
 func (c *Coordinator) pingWitnesses(now time.Time) {
 	for _, w := range c.leaser.Due(now) {
 		if a := c.agents[w]; a != nil {
-			a.gather()
+			a.pendingFrame()
 		}
 	}
 }
 
-// flushAgents sends the gathered frames. Every frame is also a ping.
+// flushAgents sends the pending frames. Every frame is also a ping.
 func (c *Coordinator) flushAgents(now time.Time) {
-	for _, a := range c.gathered.take() {
+	for _, a := range c.unsent.takeSorted() {
 		peer := a.peer
 		if c.agents[peer] != a {
 			continue
 		}
-		f := a.frame
-		a.frame = nil
-		f.Settled = a.settled
-		a.settled = nil
-		a.ping++
-		a.pings = append(a.pings, sentPing{number: a.ping, at: now})
-		f.Contact = &messenger.Contact{Ping: a.ping}
+		f := a.pending
+		a.pending = nil
+		f.Settled = a.settlements
+		a.settlements = nil
+		a.lastPing++
+		a.outstandingPings = append(a.outstandingPings, sentPing{number: a.lastPing, at: now})
+		f.Contact = &messenger.Contact{Ping: a.lastPing}
 		if backlog := c.placer.Backlog(peer); backlog > 0 && len(f.Starts) > 0 {
 			f.Credit = &messenger.Credit{Backlog: backlog}
 		}
--- a/internal/coordinator/bequest_test.go
+++ b/internal/coordinator/bequest_test.go
@@ -10,122 +10,122 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// replace lets an agent leave in good order; another takes its seat. It reports
-// whether another agent has its records.
-func (w *world) replace(seat int) bool {
-	p := w.agents[seat]
+// replaceAgent shuts an agent down in an orderly way and starts another at its index.
+// It reports whether a successor has the agent's records.
+func (sim *simulation) replaceAgent(index int) bool {
+	p := sim.agents[index]
 	p.leaving = true
-	w.announce(p)
-	w.flush(p)
-	w.settle(100 * time.Millisecond)
-	kept := w.until(time.Second, func() bool {
-		p.guard.TransferRecords(p.now(w))
-		w.flush(p)
-		_, kept := p.guard.RecordsTransferred()
-		return kept
+	sim.announce(p)
+	sim.flush(p)
+	sim.runFor(100 * time.Millisecond)
+	transferred := sim.stepUntil(time.Second, func() bool {
+		p.guard.TransferRecords(p.now(sim))
+		sim.flush(p)
+		_, transferred := p.guard.RecordsTransferred()
+		return transferred
 	})
-	w.kill(p)
-	w.settleUntil(2*time.Second, w.serving)
-	return kept
+	sim.kill(p)
+	sim.runUntil(2*time.Second, sim.serving)
+	return transferred
 }
 
-// TestReplacedAgentsLeaveNothingUnknown replaces all agents in good order, one after
-// the other, and then lets an owner die. What ran before must be known, and what did
-// not must be said not to have run.
+// TestReplacedAgentsLeaveNothingUnknown replaces all agents one after the other by
+// orderly shutdowns and then kills an owner. The new owner must know from the
+// successors what ran before, and must answer not-run for what did not run.
 func TestReplacedAgentsLeaveNothingUnknown(t *testing.T) {
-	w := newWorld(func(n int) int { return n - 1 }, worldOptions{entries: 3, agents: 4, slots: 8})
-	w.settleUntil(2*time.Second, w.serving)
-	owner := w.entries[0]
+	sim := newSimulation(func(n int) int { return n - 1 }, simulationOptions{entries: 3, agents: 4, slots: 8})
+	sim.runUntil(2*time.Second, sim.serving)
+	owner := sim.entries[0]
 	var p identifier.Partition
 	for !owner.entry.Owns(p) {
 		p++
 	}
-	ran := w.newSubmission(p, "", 12, time.Second)
-	never := w.newSubmission(p, "", 1, time.Second)
-	w.submitTo(owner, ran, coordinator.RequestSubmit)
-	w.settle(500 * time.Millisecond)
-	if got := w.oracle.requests[0].answer; got != string(submitter.OutcomeComplete) {
+	ran := sim.newSubmission(p, "", 12, time.Second)
+	neverRun := sim.newSubmission(p, "", 1, time.Second)
+	sim.submitTo(owner, ran, coordinator.RequestSubmit)
+	sim.runFor(500 * time.Millisecond)
+	if got := sim.oracle.requests[0].answer; got != string(submitter.OutcomeComplete) {
 		t.Fatalf("the job is %s, want complete", got)
 	}
-	for seat := range w.agents {
-		if !w.replace(seat) {
-			t.Fatalf("agent %d found no heir", seat)
+	for index := range sim.agents {
+		if !sim.replaceAgent(index) {
+			t.Fatalf("agent %d found no successor", index)
 		}
 	}
-	if age := w.now.Sub(ran.id.Time()); age >= worldWindow {
+	if age := sim.now.Sub(ran.id.Time()); age >= testWindow {
 		t.Fatalf("the replacement took %s, which is longer than the window", age)
 	}
-	w.kill(owner)
-	w.entries[0].paused = true
-	if !w.until(4*time.Second, func() bool { return w.ownerOf(p, w.entries[1:]) != nil }) {
-		t.Fatal("nobody takes the partition over")
+	sim.kill(owner)
+	sim.entries[0].paused = true
+	if !sim.stepUntil(4*time.Second, func() bool { return sim.ownerOf(p, sim.entries[1:]) != nil }) {
+		t.Fatal("no entry takes the partition over")
 	}
-	w.settle(300 * time.Millisecond)
-	taker := w.ownerOf(p, w.entries[1:])
-	if missing := taker.entry.Partitions(taker.now(w))[p].Missing; len(missing) > 0 {
-		t.Errorf("the new owner misses the records of %v", missing)
+	sim.runFor(300 * time.Millisecond)
+	newOwner := sim.ownerOf(p, sim.entries[1:])
+	if missing := newOwner.entry.Partitions(newOwner.now(sim))[p].Missing; len(missing) > 0 {
+		t.Errorf("the new owner lacks the records of %v", missing)
 	}
-	w.submitTo(taker, ran, coordinator.RequestSubmit)
-	w.submitTo(taker, never, coordinator.RequestSubmit)
-	w.settle(time.Second)
-	// The world's agents keep no result that its owner has.
-	if w.oracle.outcomes["unknown answer-lost"] != 1 || w.oracle.outcomes["not-run owner-changed"] != 1 {
-		t.Errorf("want one answer-lost and one not-run, got\n%s", table(w.oracle.outcomes))
+	sim.submitTo(newOwner, ran, coordinator.RequestSubmit)
+	sim.submitTo(newOwner, neverRun, coordinator.RequestSubmit)
+	sim.runFor(time.Second)
+	// The simulated agents drop results that the owner has received.
+	if sim.oracle.outcomes["unknown answer-lost"] != 1 || sim.oracle.outcomes["not-run owner-changed"] != 1 {
+		t.Errorf("want one answer-lost and one not-run, got\n%s", table(sim.oracle.outcomes))
 	}
-	if w.oracle.violation != "" {
-		t.Error(w.oracle.violation)
+	if sim.oracle.violation != "" {
+		t.Error(sim.oracle.violation)
 	}
 }
 
-// TestHistoriesWithReplacedAgents lets agents leave in good order in the midst of
-// seeded histories: some end when another has their records, some before.
+// TestHistoriesWithReplacedAgents shuts agents down in an orderly way during seeded
+// histories. Some terminate after a successor has their records, some before.
 func TestHistoriesWithReplacedAgents(t *testing.T) {
 	t.Parallel()
 	const histories = 300
-	kept := sideHistories(t, histories, 13, 2, func(w *world, random *rand.Rand) int {
-		left := w.leaveForGood(random)
+	transferred := runHistoriesWith(t, histories, 13, 2, func(sim *simulation, random *rand.Rand) int {
+		left := sim.shutDownSomeAgents(random)
 		if left > 0 && random.IntN(2) == 0 {
-			w.takeOverAndAsk(random)
+			sim.killEntryAndResubmit(random)
 		}
 		return left
 	})
-	t.Logf("%d agents left with an heir in %d histories", kept, histories)
-	if kept < histories/4 {
-		t.Errorf("only %d agents left with an heir", kept)
+	t.Logf("%d agents terminated with a successor in %d histories", transferred, histories)
+	if transferred < histories/4 {
+		t.Errorf("only %d agents terminated with a successor", transferred)
 	}
 }
 
-// takeOverAndAsk kills an entry and submits again what ran before.
-func (w *world) takeOverAndAsk(random *rand.Rand) {
-	w.kill(w.entries[random.IntN(len(w.entries))])
-	w.settle(time.Second)
+// killEntryAndResubmit kills an entry and resubmits earlier submissions.
+func (sim *simulation) killEntryAndResubmit(random *rand.Rand) {
+	sim.kill(sim.entries[random.IntN(len(sim.entries))])
+	sim.runFor(time.Second)
 	for range 6 {
-		w.resubmit()
+		sim.resubmit()
 	}
-	w.settle(100 * time.Millisecond)
+	sim.runFor(100 * time.Millisecond)
 }
 
-// leaveForGood lets agents that leave pass on their records, and ends those that have.
-// It returns the number of those that found an heir.
-func (w *world) leaveForGood(random *rand.Rand) int {
-	kept := 0
-	for _, p := range w.agents {
-		if p.acts() && !p.leaving && random.IntN(25) == 0 {
+// shutDownSomeAgents lets leaving agents transfer their records and terminates some
+// that have finished. It returns the number of terminated agents that had a successor.
+func (sim *simulation) shutDownSomeAgents(random *rand.Rand) int {
+	count := 0
+	for _, p := range sim.agents {
+		if p.active() && !p.leaving && random.IntN(25) == 0 {
 			p.leaving = true
-			w.announce(p)
-			w.flush(p)
+			sim.announce(p)
+			sim.flush(p)
 		}
-		if !p.acts() || !p.leaving || random.IntN(3) == 0 {
+		if !p.active() || !p.leaving || random.IntN(3) == 0 {
 			continue
 		}
-		p.guard.TransferRecords(p.now(w))
-		w.flush(p)
-		if over, has := p.guard.RecordsTransferred(); over && random.IntN(2) == 0 {
-			if has {
-				kept++
+		p.guard.TransferRecords(p.now(sim))
+		sim.flush(p)
+		if over, hasSuccessor := p.guard.RecordsTransferred(); over && random.IntN(2) == 0 {
+			if hasSuccessor {
+				count++
 			}
-			w.kill(p)
+			sim.kill(p)
 		}
 	}
-	return kept
+	return count
 }
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,12 +1,12 @@
-// Package coordinator is the whole decision of an entry, without its I/O.
+// Package coordinator implements all decisions of an entry, without its I/O.
 //
-// It joins the controllers of an entry: the registrar knows the rows that entries
-// share, the recoverer says which partitions are active here, the leaser says
-// whether anything may be started now, the owner keeps the jobs, and the placer
-// says which task goes where. Events come in with a time: requests, frames from
-// peers, outcomes of calls of the platform, and ticks. What is to be done is
-// collected until [Coordinator.Take]. The control thread of an entry drives it in
-// production; in tests a scheduler with virtual time does.
+// It joins the controllers of an entry: the registrar holds the table rows that the
+// entries share, the recoverer tracks which partitions are active here, the leaser
+// tells whether tasks may be started now, the owner holds the jobs, and the placer
+// assigns tasks to agents. Events arrive with a time: requests, frames from peers,
+// results of platform calls, and ticks. The resulting actions are collected until
+// [Coordinator.Take]. In production the control thread of an entry drives the
+// coordinator; in tests a scheduler with virtual time does.
 package coordinator
 
 import (
@@ -36,25 +36,25 @@
 	Answer *messenger.Answer
 }
 
-// Output is what the entry has to do.
+// Output lists the actions that the entry has to carry out.
 type Output struct {
 	Sends   []Send
 	Answers []TicketAnswer
 	Reads   []registrar.Read
 	Writes  []registrar.Write
-	// RoutesChanged says that owners or entries differ from before.
+	// RoutesChanged reports that owners or entries have changed.
 	RoutesChanged bool
-	// Waits are those of jobs of which a first task is sent.
+	// QueueTimes has one element for each job whose first task is sent.
 	QueueTimes []QueueTime
 }
 
 // Coordinator is the control state of one entry.
 type Coordinator struct {
-	self    registrar.Entry // self is what the entry's row should say.
+	self    registrar.Entry // The desired content of the entry's own row.
 	limits  Limits
 	rules   Rules
-	started time.Time // started is the time of the first tick.
-	now     time.Time // now is the time of the event that is being applied.
+	started time.Time // Time of the first tick.
+	now     time.Time // Time of the event that is being applied.
 
 	registrar *registrar.Registrar
 	leaser    *leaser.Leaser
@@ -63,59 +63,64 @@
 	placer    *placer.Placer
 
 	agents     map[messenger.Peer]*agentLink
-	agentOrder []messenger.Peer // agentOrder has the connected agents, sorted.
+	agentOrder []messenger.Peer // The connected agents, sorted.
 	entries    map[messenger.Peer]*entryLink
-	entryOrder []messenger.Peer // entryOrder has the connected entries, sorted.
-	// away has the time since which members of the roster are out of reach.
-	away map[messenger.Peer]time.Time
-	// sighted has the time at which each entry's row was first seen.
-	sighted map[messenger.Peer]time.Time
-	// highest has the highest epoch of each partition that any source reported.
-	highest [identifier.Partitions]uint64
-	// superseded has when each partition was last taken over from this entry.
-	superseded [identifier.Partitions]time.Time
-
-	requests   requests
-	bequests   map[messenger.Peer]*bequest // bequests has those of agents that leave through this entry.
-	handover   handovers
-	draining   bool
-	disowned   bool // disowned means that a partition was lost or stopped since the last Take.
-	pingedAt   time.Time
-	rosterPace pace                    // rosterPace is that of the comparison of the roster with the agents.
-	ownersPace pace                    // ownersPace is that of the comparison of owners with live entries.
-	wanted     claimer.PreferredOwners // wanted has the owners that the live entries should be.
-	gathered   gathered                // gathered has the agents that a frame waits for.
-	paths      map[string]string       // paths has the HTTP path of each service at its upstreams.
-	out        Output
+	entryOrder []messenger.Peer // The connected entries, sorted.
+	// disconnectedSince has the roster members without a connection, and since when
+	// they have had none.
+	disconnectedSince map[messenger.Peer]time.Time
+	// unreachableSince has, for each entry in the table, the time from which it counts
+	// as unreachable while it is not connected: when its row was first read, when its
+	// connection ended, or the end of a pause of this process.
+	unreachableSince map[messenger.Peer]time.Time
+	// highestEpoch has the highest epoch of each partition that any source has
+	// reported.
+	highestEpoch [identifier.Partitions]uint64
+	// takenOverAt has the time at which another entry last took each partition over
+	// from this one.
+	takenOverAt [identifier.Partitions]time.Time
+
+	requests        requests
+	recordTransfers map[messenger.Peer]*recordTransfer // By the agent that shuts down.
+	handovers       handovers
+	draining        bool
+	partitionsLost  bool // A partition was lost or stopped since the last Take.
+	entriesPingedAt time.Time
+	rosterCheck     periodicCheck           // Comparison of the roster with the connected agents.
+	ownersCheck     periodicCheck           // Comparison of the owners with the live entries.
+	preferredOwners claimer.PreferredOwners // The owner that each partition should have among the live entries.
+	unsent          unsentFrames            // The agents with a pending frame.
+	paths           map[string]string       // HTTP path of each service at its upstreams.
+	out             Output
 }
 
 // New returns a coordinator that owns nothing.
 func New(self registrar.Entry, limits Limits, rules Rules) *Coordinator {
 	limits = limits.withDefaults(self.Region)
 	c := &Coordinator{
-		self:      self,
-		limits:    limits,
-		rules:     rules,
-		registrar: registrar.New(self, limits.Registrar, rules.Registrar),
-		leaser:    leaser.New(limits.Leaser, rules.Leaser),
-		recoverer: recoverer.New(limits.Recoverer, rules.Recoverer),
-		owner:     owner.New(limits.Owner),
-		placer:    placer.New(limits.Placer),
-		agents:    make(map[messenger.Peer]*agentLink),
-		entries:   make(map[messenger.Peer]*entryLink),
-		away:      make(map[messenger.Peer]time.Time),
-		sighted:   make(map[messenger.Peer]time.Time),
-		requests:  newRequests(limits.AnswerGracePeriod),
-		bequests:  make(map[messenger.Peer]*bequest),
-		handover:  newHandovers(),
-		paths:     make(map[string]string),
+		self:              self,
+		limits:            limits,
+		rules:             rules,
+		registrar:         registrar.New(self, limits.Registrar, rules.Registrar),
+		leaser:            leaser.New(limits.Leaser, rules.Leaser),
+		recoverer:         recoverer.New(limits.Recoverer, rules.Recoverer),
+		owner:             owner.New(limits.Owner),
+		placer:            placer.New(limits.Placer),
+		agents:            make(map[messenger.Peer]*agentLink),
+		entries:           make(map[messenger.Peer]*entryLink),
+		disconnectedSince: make(map[messenger.Peer]time.Time),
+		unreachableSince:  make(map[messenger.Peer]time.Time),
+		requests:          newRequests(limits.AnswerGracePeriod),
+		recordTransfers:   make(map[messenger.Peer]*recordTransfer),
+		handovers:         newHandovers(),
+		paths:             make(map[string]string),
 	}
 	c.owner.Rules.HoldsPartition = func(p identifier.Partition) bool { return c.Owns(p) && c.leaser.Held(c.now) }
-	c.owner.RequestsExpected = c.awaited
+	c.owner.RequestsExpected = c.mayStillBeRequested
 	return c
 }
 
-// withDefaults fills in what may be left out.
+// withDefaults sets the fields that are zero to their defaults.
 func (l Limits) withDefaults(region string) Limits {
 	if len(l.Regions) == 0 {
 		l.Regions = []string{region}
@@ -149,7 +154,7 @@
 
 // Receive applies a frame from a peer.
 func (c *Coordinator) Receive(now time.Time, from messenger.Peer, f *messenger.Frame) {
-	c.begin(now)
+	c.beginEvent(now)
 	if a := c.agents[from]; a != nil {
 		c.receiveAgent(now, a, f)
 		return
@@ -161,51 +166,51 @@
 
 // StoreRead applies the outcome of a read.
 func (c *Coordinator) StoreRead(now time.Time, id uint64, r storer.Range, err error) {
-	c.begin(now)
+	c.beginEvent(now)
 	c.registrar.StoreRead(now, id, r, err)
 	c.applyRows(now)
 }
 
 // StoreWritten applies the outcome of a write.
 func (c *Coordinator) StoreWritten(now time.Time, id uint64, o storer.Outcome, err error) {
-	c.begin(now)
+	c.beginEvent(now)
 	c.registrar.StoreWritten(now, id, o, err)
 	c.applyRows(now)
 }
 
-// Drain makes the entry hand over its partitions and take none, until Undrain.
-// Drained reports when it is done. What no other entry may take stays and is
-// served. Requests that reach the entry are passed on to the owners.
+// Drain makes the entry hand over its partitions and accept none until Undrain. Drained
+// reports when it has finished. Partitions that no other entry can take stay here and
+// are served. Requests that reach the entry are forwarded to the owners.
 func (c *Coordinator) Drain(now time.Time) { c.setDraining(now, true) }
 
-// Undrain lets the entry own partitions again. The others hand over those that it
-// should own; a handover that it has begun itself is completed first.
+// Undrain lets the entry own partitions again. The other entries hand over those that
+// it should own. A handover that this entry has already started is completed first.
 func (c *Coordinator) Undrain(now time.Time) { c.setDraining(now, false) }
 
 func (c *Coordinator) setDraining(now time.Time, draining bool) {
 	if c.draining == draining {
 		return
 	}
-	c.begin(now)
+	c.beginEvent(now)
 	c.draining = draining
 	c.self.Draining = draining
-	c.ownersPace.changed()
+	c.ownersCheck.trigger()
 	c.propose(now)
 }
 
-// Drained reports whether the entry has no requests and, as far as another entry
-// could take them, no partitions.
+// Drained reports whether the entry has no pending requests and no partitions that
+// another entry could take.
 func (c *Coordinator) Drained(now time.Time) bool {
 	if c.requests.waiting() > 0 {
 		return false
 	}
 	_, open := c.owner.Jobs()
-	return open == 0 && c.owner.Waiting() == 0 && (len(c.Owned()) == 0 || len(c.live(now)) == 0)
+	return open == 0 && c.owner.Waiting() == 0 && (len(c.Owned()) == 0 || len(c.liveEntries(now)) == 0)
 }
 
 // Tick applies the passing of time.
 func (c *Coordinator) Tick(now time.Time) {
-	c.begin(now)
+	c.beginEvent(now)
 	if c.started.IsZero() {
 		c.started = now
 	}
@@ -222,11 +227,11 @@
 	c.propose(now)
 }
 
-// Take runs the controllers on what has happened, returns what is to be done and
-// clears it.
+// Take runs the controllers on the events since the last call, and returns and clears
+// the collected actions.
 func (c *Coordinator) Take(now time.Time) Output {
-	c.begin(now)
-	c.disown(now)
+	c.beginEvent(now)
+	c.releaseLostTasks(now)
 	c.applyOwner(now)
 	if c.leaser.Held(now) {
 		c.dispatch(now)
--- a/internal/coordinator/forward.go
+++ b/internal/coordinator/forward.go
@@ -10,72 +10,76 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// movedPause is how long a request that came back waits for newer rows.
-const movedPause = 50 * time.Millisecond
+// movedRetryDelay is how long a request that another entry returned as moved waits for
+// newer rows before it is routed again.
+const movedRetryDelay = 50 * time.Millisecond
 
 // forward is a request of this entry for a partition that another entry owns.
 type forward struct {
 	request Request
-	to      messenger.Peer // to is the entry that has the request; empty if none has it.
-	// sent means that some entry had the request at some time.
-	sent bool
-	// notBefore is when the request may be sent again after it came back.
+	sentTo  messenger.Peer // The entry that has the request now; empty if none has.
+	// everSent is set once any entry was sent the request.
+	everSent bool
+	// notBefore is the earliest time for sending the request again after it was
+	// returned.
 	notBefore time.Time
 }
 
-// lost records that an entry is not connected any more.
-func (r *requests) lost(peer messenger.Peer) {
+// entryDown marks the requests at an entry as unrouted after its connection has ended.
+func (r *requests) entryDown(peer messenger.Peer) {
 	for _, f := range r.forwards {
-		if f.to == peer {
-			f.to = ""
+		if f.sentTo == peer {
+			f.sentTo = ""
 			r.unrouted++
 		}
 	}
 }
 
-// moved records that the entry that had a request does not own its partition.
-func (r *requests) moved(now time.Time, ticket uint64) {
+// returned records that the entry to which a request was sent does not own its
+// partition.
+func (r *requests) returned(now time.Time, ticket uint64) {
 	if f := r.forwards[ticket]; f != nil {
-		f.to = ""
+		f.sentTo = ""
 		r.unrouted++
-		f.notBefore = now.Add(movedPause)
+		f.notBefore = now.Add(movedRetryDelay)
 	}
 }
 
-// route passes a request on to the owner of its partition. While the owner is not
-// known or not connected, the request waits; one of another region does not.
+// route forwards a request to the owner of its partition. While the owner is unknown or
+// not connected, the request waits; a request for another region is answered at once
+// instead.
 func (c *Coordinator) route(now time.Time, ticket uint64) {
 	f := c.requests.forwards[ticket]
-	if f == nil || f.to != "" || now.Before(f.notBefore) {
+	if f == nil || f.sentTo != "" || now.Before(f.notBefore) {
 		return
 	}
 	s := f.request.Job.Submission
 	p := s.Partition()
 	if c.recoverer.Phase(p) != recoverer.PhaseNone {
 		delete(c.requests.forwards, ticket)
-		c.local(now, owner.Waiter{Ticket: ticket}, f.request)
+		c.applyLocally(now, owner.Waiter{Ticket: ticket}, f.request)
 		return
 	}
 	row := c.registrar.Partition(p)
 	e := c.entries[row.Owner]
 	if e == nil {
 		if row.Region != "" && row.Region != c.self.Region {
-			c.answerForward(ticket, unknown(s, submitter.ReasonRegionUnreachable,
+			c.answerForward(ticket, unknownAnswer(s, submitter.ReasonRegionUnreachable,
 				"the submission belongs to region "+row.Region+", which cannot be reached"))
 		}
 		return
 	}
-	if row.Epoch < c.highest[p] {
+	if row.Epoch < c.highestEpoch[p] {
 		return
 	}
-	f.to = e.peer
-	f.sent = true
-	frame := e.gather()
+	f.sentTo = e.peer
+	f.everSent = true
+	frame := e.pendingFrame()
 	frame.Forwards = append(frame.Forwards, forwardMessage(now, ticket, &f.request))
 	f.request.Resent = true
 }
 
-// routeRequests routes every request that no entry has.
+// routeRequests routes every request that is at no entry.
 func (c *Coordinator) routeRequests(now time.Time) {
 	if c.requests.unrouted == 0 {
 		return
@@ -83,21 +87,22 @@
 	c.requests.unrouted = 0
 	for _, ticket := range slices.Clone(c.requests.order) {
 		c.route(now, ticket)
-		if f := c.requests.forwards[ticket]; f != nil && f.to == "" {
+		if f := c.requests.forwards[ticket]; f != nil && f.sentTo == "" {
 			c.requests.unrouted++
 		}
 	}
 }
 
-// passOn makes a request of a partition that is lost wait for the new owner.
-func (c *Coordinator) passOn(w owner.Waiter, r Request) {
+// redirect hands a request for a lost partition on to the new owner: a request of this
+// entry waits to be routed again, and a forwarded one is returned to its sender.
+func (c *Coordinator) redirect(w owner.Waiter, r Request) {
 	if w.Peer == "" {
 		r.Resent = true
-		c.requests.add(w.Ticket, &forward{request: r, sent: true})
+		c.requests.add(w.Ticket, &forward{request: r, everSent: true})
 		return
 	}
 	if e := c.entries[w.Peer]; e != nil {
-		f := e.gather()
+		f := e.pendingFrame()
 		f.Moved = append(f.Moved, messenger.Moved{Ticket: w.Ticket})
 	}
 }
@@ -109,11 +114,11 @@
 		return
 	}
 	if c.recoverer.Phase(m.Submission.Partition()) == recoverer.PhaseNone {
-		f := e.gather()
+		f := e.pendingFrame()
 		f.Moved = append(f.Moved, messenger.Moved{Ticket: m.Ticket})
 		return
 	}
-	c.local(now, w, Request{Kind: kindOf(m), NewID: m.NewID, Resent: m.Resent, Job: owner.Job{
+	c.applyLocally(now, w, Request{Kind: kindOf(m), NewID: m.NewID, Resent: m.Resent, Job: owner.Job{
 		Submission: m.Submission,
 		Service:    m.Service,
 		Team:       m.Team,
@@ -161,9 +166,9 @@
 	return RequestSubmit
 }
 
-// unowned answers a request that no owner answered in time.
-func unowned(f *forward) *messenger.Answer {
-	if f.request.NewID && !f.sent {
+// noOwnerAnswer returns the answer to a request that no owner answered in time.
+func noOwnerAnswer(f *forward) *messenger.Answer {
+	if f.request.NewID && !f.everSent {
 		return &messenger.Answer{
 			Submission: f.request.Job.Submission,
 			Outcome:    string(submitter.OutcomeNotRun),
@@ -172,5 +177,5 @@
 			RetryAfter: time.Second,
 		}
 	}
-	return unknown(f.request.Job.Submission, submitter.ReasonNoOwner, "the owner of the submission cannot be reached")
+	return unknownAnswer(f.request.Job.Submission, submitter.ReasonNoOwner, "the owner of the submission cannot be reached")
 }
--- a/internal/coordinator/pace.go
+++ b/internal/coordinator/pace.go
@@ -3,30 +3,30 @@
 import "time"
 
 const (
-	// rosterCheckEvery is the period at which the roster is compared with the agents
-	// while neither agents come or go nor rows change. The comparison takes time and
-	// garbage in proportion to the agents; what waits for it takes seconds. The value
-	// is chosen.
-	rosterCheckEvery = time.Second
-	// ownersCheckEvery is the period at which owners are compared with the entries
-	// that live, while neither rows nor connections change. It delays what only the
-	// passing of time brings about, such as a suspicion, which takes much longer; the
-	// value is chosen.
-	ownersCheckEvery = 50 * time.Millisecond
+	// rosterCheckInterval is the interval at which the roster is compared with the
+	// agents while no agent connects or disconnects and no row changes. The comparison
+	// costs time and garbage in proportion to the number of agents, and what depends on
+	// it takes seconds anyway.
+	rosterCheckInterval = time.Second
+	// ownersCheckInterval is the interval at which owners are compared with the live
+	// entries while no row or connection changes. It delays only effects of passing
+	// time, such as a suspicion, whose timeout is much longer.
+	ownersCheckInterval = 50 * time.Millisecond
 )
 
-// pace spaces out a check that finds nothing most of the time. The zero value is due.
-type pace struct {
-	checked time.Time // checked is when nothing was found to do; zero after a change.
+// periodicCheck limits how often a check runs that usually finds nothing to do. The
+// zero value is due at once.
+type periodicCheck struct {
+	cleanSince time.Time // When the check last found nothing to do; zero after a change.
 }
 
-// due reports whether the check is to be made now.
-func (p *pace) due(now time.Time, every time.Duration) bool {
-	return p.checked.IsZero() || now.Sub(p.checked) >= every
+// due reports whether the check should run now.
+func (p *periodicCheck) due(now time.Time, every time.Duration) bool {
+	return p.cleanSince.IsZero() || now.Sub(p.cleanSince) >= every
 }
 
-// passed records that the check found nothing to do.
-func (p *pace) passed(now time.Time) { p.checked = now }
+// recordClean records that the check found nothing to do.
+func (p *periodicCheck) recordClean(now time.Time) { p.cleanSince = now }
 
-// changed makes the check due at once.
-func (p *pace) changed() { p.checked = time.Time{} }
+// trigger makes the check due at once.
+func (p *periodicCheck) trigger() { p.cleanSince = time.Time{} }
--- a/internal/coordinator/requests.go
+++ b/internal/coordinator/requests.go
@@ -12,51 +12,52 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// RequestKind says what a caller asks for.
+// RequestKind is the kind of a caller's request.
 type RequestKind string
 
 // The kinds of requests.
 const (
-	RequestSubmit RequestKind = "submit" // Run the job, or answer with its kept answer.
-	RequestAttach RequestKind = "attach" // Answer for a known submission; the job brings no tasks.
+	RequestSubmit RequestKind = "submit" // Run the job, or return the answer that it already has.
+	RequestAttach RequestKind = "attach" // Return the answer of a known submission; the job has no tasks.
 	RequestCancel RequestKind = "cancel" // Cancel a known submission.
 )
 
-// Request is what a caller asks for. Its deadline is that of the job.
+// Request is a request of a caller. Its deadline is that of the job.
 type Request struct {
 	Kind RequestKind
 	Job  owner.Job
-	// Fresh says that this entry made the id for the request, so that no other
-	// request can have brought it before.
+	// NewID is set if this entry generated the id for the request, so that no other
+	// request can have used it before.
 	NewID bool
-	// Resent says that the request was with another owner before, which did not
+	// Resent is set if the request was sent to another owner before, which did not
 	// answer it but may have started tasks.
 	Resent bool
 }
 
-// requests are those that no owner at this entry has taken: they wait for another
-// entry's answer, for a partition to become active, or for an owner to be known.
+// requests holds the requests that no owner at this entry has accepted: they wait for
+// another entry's answer, for a partition to become active, or for an owner to be
+// known.
 type requests struct {
-	forwards map[uint64]*forward
-	order    []uint64 // order has the tickets of forwards in order of arrival; some may be gone.
-	expiries expiries // expiries has every forward, and some that are gone.
-	unrouted int      // unrouted is at least the number of forwards that no entry has.
-	held     [identifier.Partitions][]heldRequest
-	heldSize int
-	slack    time.Duration // slack is how long after a deadline the owner's answer is awaited.
+	forwards    map[uint64]*forward
+	order       []uint64 // Tickets in order of arrival; may include answered ones.
+	expiries    expiries // Has every forward; may include answered ones.
+	unrouted    int      // An upper bound of the forwards that are at no entry.
+	held        [identifier.Partitions][]heldRequest
+	heldSize    int
+	gracePeriod time.Duration // How long after a deadline the owner's answer is awaited.
 }
 
-// heldRequest is a request for a partition of this entry that is not active.
+// heldRequest is a request for a partition that this entry owns and that is not active.
 type heldRequest struct {
 	waiter  owner.Waiter
 	request Request
-	// until is when the records of agents are awaited no more; zero if the request
+	// recordsDeadline is when the request stops waiting for agents' records; zero if it
 	// does not wait for them.
-	until time.Time
+	recordsDeadline time.Time
 }
 
-func newRequests(slack time.Duration) requests {
-	return requests{forwards: make(map[uint64]*forward), slack: slack}
+func newRequests(gracePeriod time.Duration) requests {
+	return requests{forwards: make(map[uint64]*forward), gracePeriod: gracePeriod}
 }
 
 func (r *requests) waiting() int { return len(r.forwards) + r.heldSize }
@@ -65,10 +66,10 @@
 	r.forwards[ticket] = f
 	r.unrouted++
 	r.order = append(r.order, ticket)
-	heap.Push(&r.expiries, expiry{at: f.request.Job.Deadline.Add(r.slack), ticket: ticket})
+	heap.Push(&r.expiries, expiry{at: f.request.Job.Deadline.Add(r.gracePeriod), ticket: ticket})
 	if len(r.order) > 2*len(r.forwards)+64 {
 		r.order = slices.DeleteFunc(r.order, func(t uint64) bool { return r.forwards[t] == nil })
-		r.expiries.keepOf(r.forwards)
+		r.expiries.dropAnswered(r.forwards)
 	}
 }
 
@@ -77,7 +78,7 @@
 	r.heldSize++
 }
 
-// takeHeld removes and returns what is held for a partition.
+// takeHeld removes and returns the requests held for a partition.
 func (r *requests) takeHeld(p identifier.Partition) []heldRequest {
 	out := r.held[p]
 	r.held[p] = nil
@@ -92,30 +93,30 @@
 
 // Request applies a request of a caller.
 func (c *Coordinator) Request(now time.Time, ticket uint64, r Request) {
-	c.begin(now)
+	c.beginEvent(now)
 	if c.recoverer.Phase(r.Job.Submission.Partition()) != recoverer.PhaseNone {
-		c.local(now, owner.Waiter{Ticket: ticket}, r)
+		c.applyLocally(now, owner.Waiter{Ticket: ticket}, r)
 		return
 	}
 	c.requests.add(ticket, &forward{request: r})
 	c.route(now, ticket)
 }
 
-// local applies a request for a partition that this entry owns.
-func (c *Coordinator) local(now time.Time, w owner.Waiter, r Request) {
-	c.localUntil(now, w, r, now.Add(c.limits.Owner.AgentLossTimeout))
+// applyLocally applies a request for a partition that this entry owns.
+func (c *Coordinator) applyLocally(now time.Time, w owner.Waiter, r Request) {
+	c.applyLocallyUntil(now, w, r, now.Add(c.limits.Owner.AgentLossTimeout))
 }
 
-// localUntil applies a request that waits for records until the given time.
-func (c *Coordinator) localUntil(now time.Time, w owner.Waiter, r Request, until time.Time) {
+// applyLocallyUntil applies a request that waits for records until the given time.
+func (c *Coordinator) applyLocallyUntil(now time.Time, w owner.Waiter, r Request, recordsDeadline time.Time) {
 	j := r.Job
 	if c.recoverer.Phase(j.Submission.Partition()) != recoverer.PhaseActive {
 		c.requests.hold(j.Submission.Partition(), heldRequest{waiter: w, request: r})
 		return
 	}
-	past := c.past(now, &r)
-	if past == recoverer.FormerOutcomeUnknown {
-		c.localUncertain(now, w, r, until)
+	outcome := c.formerOutcome(now, &r)
+	if outcome == recoverer.FormerOutcomeUnknown {
+		c.applyUncertain(now, w, r, recordsDeadline)
 		return
 	}
 	switch r.Kind {
@@ -132,7 +133,7 @@
 	if len(tasks) == 0 {
 		return
 	}
-	if past == recoverer.FormerOutcomeNotRun && !known {
+	if outcome == recoverer.FormerOutcomeNotRun && !known {
 		c.owner.Refuse(now, j.Submission, submitter.ReasonOwnerChanged,
 			"the former owner of the submission is gone and it did not run", time.Second)
 		return
@@ -143,54 +144,54 @@
 	}
 }
 
-// past returns what may have become of a request's id, or of its request key,
-// under a former owner. A new id does not help an old key: the key may have been
-// used under another id.
-func (c *Coordinator) past(now time.Time, r *Request) recoverer.FormerOutcome {
+// formerOutcome returns what may have happened under a former owner to a request's id
+// or request key. A new id does not make an old key safe: the key may have been used
+// with another id.
+func (c *Coordinator) formerOutcome(now time.Time, r *Request) recoverer.FormerOutcome {
 	if r.Job.RequestKey != "" && c.recoverer.Uncertainty(now, r.Job.Submission.Partition()).RecordsIncomplete {
 		return recoverer.FormerOutcomeUnknown
 	}
 	if r.NewID && !r.Resent {
 		return recoverer.FormerOutcomeNone
 	}
-	past := c.recoverer.FormerOutcome(now, r.Job.Submission)
-	if r.NewID && past == recoverer.FormerOutcomeNotRun {
-		// Nobody but the resent request asked for the id, and it had no answer.
+	outcome := c.recoverer.FormerOutcome(now, r.Job.Submission)
+	if r.NewID && outcome == recoverer.FormerOutcomeNotRun {
+		// Only the resent request has used the id, and it had no answer.
 		return recoverer.FormerOutcomeNone
 	}
-	return past
+	return outcome
 }
 
-// localUncertain applies a request for an id that may have run under a former
-// owner while some agent's records are missing. If every task is known to have
-// started, the job goes on, since nothing of it can be started again. If some are,
-// the request waits for a while for the records of the others.
-func (c *Coordinator) localUncertain(now time.Time, w owner.Waiter, r Request, until time.Time) {
+// applyUncertain applies a request for an id that may have run under a former owner
+// while some agents' records are missing. If every task is known to have started, the
+// job continues, because no task of it can be started again. If only some are, the
+// request waits until recordsDeadline for the records of the other agents.
+func (c *Coordinator) applyUncertain(now time.Time, w owner.Waiter, r Request, recordsDeadline time.Time) {
 	j := r.Job
 	started := c.owner.Started(j.Submission)
 	switch {
 	case r.Kind == RequestSubmit && started > 0 && started == len(j.Tasks):
 		c.owner.Submit(now, w, j)
-	case r.Kind == RequestSubmit && started > 0 && now.Before(until):
-		c.requests.hold(j.Submission.Partition(), heldRequest{waiter: w, request: r, until: until})
+	case r.Kind == RequestSubmit && started > 0 && now.Before(recordsDeadline):
+		c.requests.hold(j.Submission.Partition(), heldRequest{waiter: w, request: r, recordsDeadline: recordsDeadline})
 	case r.Kind == RequestCancel && c.owner.Cancel(now, j.Submission, j.Team):
 		c.attach(now, w, j)
 	case r.Kind == RequestAttach && c.owner.Attach(now, w, j.Submission, j.Team, j.Deadline):
 	default:
-		c.deliver(now, w, unknown(j.Submission, submitter.ReasonOwnerChanged,
+		c.deliver(now, w, unknownAnswer(j.Submission, submitter.ReasonOwnerChanged,
 			"the former owner of the submission is gone and not every agent's records are known"))
 	}
 }
 
-// attach answers for a known submission. A submission that is not known here, or
-// that is another team's, is answered the same way.
+// attach answers a request for a known submission. A submission of another team is
+// answered as if it were unknown.
 func (c *Coordinator) attach(now time.Time, w owner.Waiter, j owner.Job) {
 	if !c.owner.Attach(now, w, j.Submission, j.Team, j.Deadline) {
-		c.deliver(now, w, unknown(j.Submission, submitter.ReasonNoSuchSubmission, "no such submission is known"))
+		c.deliver(now, w, unknownAnswer(j.Submission, submitter.ReasonNoSuchSubmission, "no such submission is known"))
 	}
 }
 
-// releaseHeld applies the requests that waited for partitions that are now active.
+// releaseHeld applies the requests held for partitions that are now active.
 func (c *Coordinator) releaseHeld(now time.Time) {
 	if c.requests.heldSize == 0 {
 		return
@@ -200,21 +201,21 @@
 			continue
 		}
 		for _, h := range c.requests.takeHeld(p) {
-			if h.until.IsZero() {
-				h.until = now.Add(c.limits.Owner.AgentLossTimeout)
+			if h.recordsDeadline.IsZero() {
+				h.recordsDeadline = now.Add(c.limits.Owner.AgentLossTimeout)
 			}
-			c.localUntil(now, h.waiter, h.request, h.until)
+			c.applyLocallyUntil(now, h.waiter, h.request, h.recordsDeadline)
 		}
 	}
 }
 
-// expireRequests answers the requests whose deadline has passed, after a pause in
-// which the owner's own answer may still arrive. A request whose id was made for
-// it and that never left this entry did not run.
+// expireRequests answers the requests whose deadline has passed, after a grace period
+// in which the owner's own answer may still arrive. A request did not run if its id was
+// generated for it and it was never sent to another entry.
 func (c *Coordinator) expireRequests(now time.Time) {
-	for _, ticket := range c.requests.expiries.expired(now) {
+	for _, ticket := range c.requests.expiries.takeExpired(now) {
 		if f := c.requests.forwards[ticket]; f != nil {
-			c.answerForward(ticket, unowned(f))
+			c.answerForward(ticket, noOwnerAnswer(f))
 		}
 	}
 	if c.requests.heldSize > 0 {
@@ -227,24 +228,25 @@
 func (c *Coordinator) expireHeld(now time.Time, p identifier.Partition) {
 	held := c.requests.takeHeld(p)
 	for _, h := range held {
-		if !h.until.IsZero() && !now.Before(h.until) {
-			c.localUntil(now, h.waiter, h.request, h.until)
+		if !h.recordsDeadline.IsZero() && !now.Before(h.recordsDeadline) {
+			c.applyLocallyUntil(now, h.waiter, h.request, h.recordsDeadline)
 			continue
 		}
 		if now.Before(h.request.Job.Deadline) {
 			c.requests.hold(p, h)
 			continue
 		}
-		c.deliver(now, h.waiter, unknown(h.request.Job.Submission, submitter.ReasonOwnerChanged,
+		c.deliver(now, h.waiter, unknownAnswer(h.request.Job.Submission, submitter.ReasonOwnerChanged,
 			"the owner of the submission was being replaced when the deadline passed"))
 	}
 }
 
-// deliver gives an answer to who waits for it. Without the lease another entry may
-// own the submission by now and may still run it, so only a complete answer is true.
+// deliver sends an answer to the waiting caller or entry. Without the lease another
+// entry may own the submission by now and may still run it, so only a complete answer
+// can be trusted.
 func (c *Coordinator) deliver(now time.Time, w owner.Waiter, a *messenger.Answer) {
 	if a.Outcome != string(submitter.OutcomeComplete) && !c.leaser.Held(now) {
-		a = unknown(a.Submission, submitter.ReasonOwnerChanged,
+		a = unknownAnswer(a.Submission, submitter.ReasonOwnerChanged,
 			"the entry cannot tell whether it still owns the submission; it found: "+a.Reason)
 	}
 	if w.Peer == "" {
@@ -257,12 +259,13 @@
 	}
 	own := *a
 	own.Ticket = w.Ticket
-	f := e.gather()
+	f := e.pendingFrame()
 	f.Answers = append(f.Answers, own)
 }
 
-// unknown returns an answer that claims nothing.
-func unknown(s identifier.Submission, reason submitter.Reason, detail string) *messenger.Answer {
+// unknownAnswer returns an answer with outcome unknown, which does not say whether
+// anything ran.
+func unknownAnswer(s identifier.Submission, reason submitter.Reason, detail string) *messenger.Answer {
 	return &messenger.Answer{
 		Submission: s,
 		Outcome:    string(submitter.OutcomeUnknown),
--- a/internal/coordinator/world_actions_test.go
+++ b/internal/coordinator/world_actions_test.go
@@ -10,92 +10,92 @@
 	"sardinelock.dev/sardinelock/internal/owner"
 )
 
-// run lets a history of the given number of steps happen, then heals the world
-// and checks that every request is answered.
-func (w *world) run(steps int) {
-	w.settleUntil(time.Second, w.serving)
+// run runs a history of the given number of steps, then ends all faults and checks that
+// every request is answered.
+func (sim *simulation) run(steps int) {
+	sim.runUntil(time.Second, sim.serving)
 	for range steps {
-		if w.oracle.violation != "" {
+		if sim.oracle.violation != "" {
 			return
 		}
-		w.step()
+		sim.step()
 	}
-	w.heal()
-	w.oracle.checkEnd()
+	sim.heal()
+	sim.oracle.checkEnd()
 }
 
 // serving reports whether every entry can start tasks at every agent.
-func (w *world) serving() bool {
-	for _, p := range w.entries {
-		if !p.entry.Serving(p.now(w), w.agentsIn(p.region)) {
+func (sim *simulation) serving() bool {
+	for _, p := range sim.entries {
+		if !p.entry.Serving(p.now(sim), sim.agentsIn(p.region)) {
 			return false
 		}
 	}
 	return true
 }
 
-// step lets one thing happen.
-func (w *world) step() {
-	w.steps++
-	if w.pick(100) < w.options.faults {
-		w.fault()
+// step performs one randomly chosen action.
+func (sim *simulation) step() {
+	sim.steps++
+	if sim.pick(100) < sim.options.faultPercent {
+		sim.fault()
 		return
 	}
-	switch n := w.pick(100); {
+	switch n := sim.pick(100); {
 	case n < 45:
-		w.deliverSome(1 + w.pick(w.options.speed))
+		sim.deliverSome(1 + sim.pick(sim.options.maxEventsPerStep))
 	case n < 60:
-		w.elapse(time.Duration(1+w.pick(40)) * time.Millisecond)
+		sim.elapse(time.Duration(1+sim.pick(40)) * time.Millisecond)
 	case n < 63:
-		w.elapse(time.Duration(100+w.pick(900)) * time.Millisecond)
+		sim.elapse(time.Duration(100+sim.pick(900)) * time.Millisecond)
 	case n < 72:
-		w.callSome(1 + w.pick(w.options.speed))
+		sim.runSomeCalls(1 + sim.pick(sim.options.maxEventsPerStep))
 	case n < 82:
-		w.endSome()
+		sim.endSomeTask()
 	case n < 90:
-		w.submitNew()
+		sim.submitNew()
 	case n < 95:
-		w.resubmit()
+		sim.resubmit()
 	case n < 96:
-		w.abandonSome()
+		sim.abandonSome()
 	default:
-		w.connectSome()
+		sim.connectSome()
 	}
 }
 
-// fault lets something go wrong, or mends something.
-func (w *world) fault() {
-	if w.extraFault() {
+// fault injects a fault or ends one.
+func (sim *simulation) fault() {
+	if sim.extraFault() {
 		return
 	}
-	switch n := w.pick(100); {
+	switch n := sim.pick(100); {
 	case n < 25:
-		w.cutSome()
+		sim.breakSome()
 	case n < 45:
-		w.pauseSome()
+		sim.pauseSome()
 	case n < 60:
-		w.wakeSome()
+		sim.resumeSome()
 	case n < 70:
-		w.killSome()
+		sim.killSome()
 	case n < 75:
-		w.down = !w.down
-		w.logf("the platform is down: %t", w.down)
+		sim.platformDown = !sim.platformDown
+		sim.logf("the platform is down: %t", sim.platformDown)
 	case n < 88:
-		if len(w.calls) > 0 {
-			w.runCall(w.pick(len(w.calls)), 1+w.pick(3))
+		if len(sim.calls) > 0 {
+			sim.runCall(sim.pick(len(sim.calls)), 1+sim.pick(3))
 		}
 	case n < 94:
-		w.drainSome()
+		sim.drainSome()
 	default:
-		w.leaveSome()
+		sim.toggleLeavingSome()
 	}
 }
 
-func (w *world) processes() []*process {
-	return append(append([]*process{}, w.entries...), w.agents...)
+func (sim *simulation) processes() []*process {
+	return append(append([]*process{}, sim.entries...), sim.agents...)
 }
 
-func (w *world) anyOf(ps []*process, ok func(*process) bool) *process {
+func (sim *simulation) anyOf(ps []*process, ok func(*process) bool) *process {
 	var fit []*process
 	for _, p := range ps {
 		if ok(p) {
@@ -105,86 +105,86 @@
 	if len(fit) == 0 {
 		return nil
 	}
-	return fit[w.pick(len(fit))]
+	return fit[sim.pick(len(fit))]
 }
 
-func (w *world) deliverSome(n int) {
+func (sim *simulation) deliverSome(n int) {
 	for range n {
-		ends := w.deliverable()
+		ends := sim.deliverable()
 		if len(ends) == 0 {
 			return
 		}
-		w.deliver(ends[w.pick(len(ends))])
+		sim.deliver(ends[sim.pick(len(ends))])
 	}
 }
 
-// elapse lets time pass; each process that acts notices it, but for some that do
-// so later.
-func (w *world) elapse(d time.Duration) {
-	w.now = w.now.Add(d)
-	for _, p := range w.processes() {
-		if p.acts() && w.pick(8) > 0 {
-			w.tick(p)
+// elapse advances the time. Most active processes get a tick at once; the others get it
+// later.
+func (sim *simulation) elapse(d time.Duration) {
+	sim.now = sim.now.Add(d)
+	for _, p := range sim.processes() {
+		if p.active() && sim.pick(8) > 0 {
+			sim.tick(p)
 		}
 	}
 }
 
-func (w *world) callSome(n int) {
+func (sim *simulation) runSomeCalls(n int) {
 	for range n {
-		if len(w.calls) == 0 {
+		if len(sim.calls) == 0 {
 			return
 		}
-		w.runCall(w.pick(len(w.calls)), 0)
+		sim.runCall(sim.pick(len(sim.calls)), 0)
 	}
 }
 
-// endSome ends a call of an upstream, seldom with an error.
-func (w *world) endSome() {
-	p := w.anyOf(w.agents, func(p *process) bool { return p.acts() && len(p.running) > 0 })
+// endSomeTask ends a call of an upstream, rarely with an error.
+func (sim *simulation) endSomeTask() {
+	p := sim.anyOf(sim.agents, func(p *process) bool { return p.active() && len(p.running) > 0 })
 	if p == nil {
 		return
 	}
 	kind := messenger.ResultDone
-	if w.pick(20) == 0 {
+	if sim.pick(20) == 0 {
 		kind = messenger.ResultFailed
 	}
-	ref := p.running[w.pick(len(p.running))].Ref
-	w.logf("%s ends %s/%d %s", p.peer, w.oracle.name(ref.Submission), ref.Index, kind)
-	w.endTask(p, ref, kind)
-	w.flush(p)
+	ref := p.running[sim.pick(len(p.running))].Ref
+	sim.logf("%s ends %s/%d %s", p.peer, sim.oracle.name(ref.Submission), ref.Index, kind)
+	sim.endTask(p, ref, kind)
+	sim.flush(p)
 }
 
-// submitNew submits a new submission, some with a request key that others use.
-func (w *world) submitNew() {
-	skew := [...]time.Duration{0, 0, 0, 0, 90 * time.Millisecond, -500 * time.Millisecond, -9900 * time.Millisecond, time.Minute}[w.pick(8)]
+// submitNew submits a new submission, sometimes with a request key that others share.
+func (sim *simulation) submitNew() {
+	skew := [...]time.Duration{0, 0, 0, 0, 90 * time.Millisecond, -500 * time.Millisecond, -9900 * time.Millisecond, time.Minute}[sim.pick(8)]
 	s := &submission{
-		timeout: [...]time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second}[w.pick(4)],
+		timeout: [...]time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second, 2 * time.Second}[sim.pick(4)],
 	}
-	p := w.anyEntry()
+	p := sim.anyEntry()
 	if p == nil {
 		return
 	}
 	accept := func(identifier.Partition) bool { return true }
-	switch w.pick(8) {
+	switch sim.pick(8) {
 	case 0:
-		s.fresh = true
-		skew = p.offset
-		accept = w.ownedBy(p)
+		s.idFromEntry = true
+		skew = p.clockOffset
+		accept = sim.ownedBy(p)
 	case 1, 2:
-		s.key = fmt.Sprintf("key%d", w.pick(2))
+		s.key = fmt.Sprintf("key%d", sim.pick(2))
 		accept = func(p identifier.Partition) bool { return p == identifier.KeyPartition(s.key) }
 	}
-	s.id = w.newID(w.now.Add(skew), accept)
-	for i := range 1 + w.pick(4) {
-		s.payload = append(s.payload, []byte(fmt.Sprintf("%d/%d", w.ids, i)))
+	s.id = sim.newID(sim.now.Add(skew), accept)
+	for i := range 1 + sim.pick(4) {
+		s.payloads = append(s.payloads, []byte(fmt.Sprintf("%d/%d", sim.ids, i)))
 	}
-	w.oracle.addSubmission(s)
-	w.submitTo(p, s, coordinator.RequestSubmit)
+	sim.oracle.addSubmission(s)
+	sim.submitTo(p, s, coordinator.RequestSubmit)
 }
 
-// ownedBy accepts the partitions whose requests an entry takes, or all if it
-// takes none.
-func (w *world) ownedBy(p *process) func(identifier.Partition) bool {
+// ownedBy returns a filter for the partitions whose requests an entry accepts, or for
+// all partitions if it accepts none.
+func (sim *simulation) ownedBy(p *process) func(identifier.Partition) bool {
 	for x := range identifier.Partition(identifier.Partitions) {
 		if p.entry.Owns(x) {
 			return p.entry.Owns
@@ -193,281 +193,281 @@
 	return func(identifier.Partition) bool { return true }
 }
 
-// resubmit submits a known submission again, seldom with another body, or asks
-// for its answer, or cancels it.
-func (w *world) resubmit() {
-	s := w.anySubmission()
+// resubmit submits a known submission again, rarely with another body, or attaches to
+// it, or cancels it.
+func (sim *simulation) resubmit() {
+	s := sim.anySubmission()
 	if s == nil {
 		return
 	}
 	kind := coordinator.RequestSubmit
-	switch w.pick(20) {
+	switch sim.pick(20) {
 	case 0:
 		other := *s
-		other.payload = append([][]byte{otherBody}, s.payload[1:]...)
+		other.payloads = append([][]byte{otherBody}, s.payloads[1:]...)
 		s = &other
 	case 1:
 		kind = coordinator.RequestAttach
 	case 2:
 		kind = coordinator.RequestCancel
 	}
-	w.submitTo(w.anyEntry(), s, kind)
+	sim.submitTo(sim.anyEntry(), s, kind)
 }
 
 // anySubmission returns a submission whose id its caller knows.
-func (w *world) anySubmission() *submission {
+func (sim *simulation) anySubmission() *submission {
 	var known []*submission
-	for _, s := range w.oracle.submissions {
-		if !s.fresh {
+	for _, s := range sim.oracle.submissions {
+		if !s.idFromEntry {
 			known = append(known, s)
 		}
 	}
 	if len(known) == 0 {
 		return nil
 	}
-	// Late submissions are picked more often: they are where most can happen.
+	// Prefer recent submissions: most rule violations can occur with them.
 	n := len(known)
-	return known[max(w.pick(n), w.pick(n))]
+	return known[max(sim.pick(n), sim.pick(n))]
 }
 
-// abandonSome lets a caller go away.
-func (w *world) abandonSome() {
+// abandonSome disconnects the caller of a request.
+func (sim *simulation) abandonSome() {
 	var waiting []uint64
-	for ticket, r := range w.oracle.requests {
-		if r.answer == "" && r.entry.acts() {
+	for ticket, r := range sim.oracle.requests {
+		if r.answer == "" && r.entry.active() {
 			waiting = append(waiting, uint64(ticket))
 		}
 	}
 	if len(waiting) == 0 {
 		return
 	}
-	ticket := waiting[w.pick(len(waiting))]
-	r := w.oracle.requests[ticket]
-	w.logf("the caller of request %d goes away", ticket)
+	ticket := waiting[sim.pick(len(waiting))]
+	r := sim.oracle.requests[ticket]
+	sim.logf("the caller of request %d disconnects", ticket)
 	r.abandoned = true
-	r.entry.entry.Abandon(r.entry.now(w), ticket)
-	w.flush(r.entry)
+	r.entry.entry.Abandon(r.entry.now(sim), ticket)
+	sim.flush(r.entry)
 }
 
-func (w *world) anyEntry() *process {
-	return w.anyOf(w.entries, func(p *process) bool { return p.acts() && !p.leaving })
+func (sim *simulation) anyEntry() *process {
+	return sim.anyOf(sim.entries, func(p *process) bool { return p.active() && !p.leaving })
 }
 
-func (w *world) submitTo(p *process, s *submission, kind coordinator.RequestKind) {
+func (sim *simulation) submitTo(p *process, s *submission, kind coordinator.RequestKind) {
 	if p == nil {
 		return
 	}
-	r := &request{submission: s, kind: kind, entry: p, deadline: p.now(w).Add(s.timeout)}
-	ticket := w.oracle.addRequest(r)
-	w.logf("%s gets request %d to %s %s (partition %d, age %s): %d tasks, key %q, timeout %s", p.peer, ticket, kind, s.name,
-		s.id.Partition(), w.now.Sub(s.id.Time()), len(s.payload), s.key, s.timeout)
+	r := &request{submission: s, kind: kind, entry: p, deadline: p.now(sim).Add(s.timeout)}
+	ticket := sim.oracle.addRequest(r)
+	sim.logf("%s gets request %d to %s %s (partition %d, age %s): %d tasks, key %q, timeout %s", p.peer, ticket, kind, s.name,
+		s.id.Partition(), sim.now.Sub(s.id.Time()), len(s.payloads), s.key, s.timeout)
 	j := owner.Job{
 		Submission: s.id,
-		Service:    worldService,
+		Service:    testService,
 		Team:       "team",
 		RequestKey: s.key,
 		Deadline:   r.deadline,
 	}
 	if kind == coordinator.RequestSubmit {
-		for _, payload := range s.payload {
+		for _, payload := range s.payloads {
 			j.Tasks = append(j.Tasks, messenger.TaskSpec{Payload: payload, RunTime: 5 * time.Millisecond})
 		}
 	}
-	p.entry.Request(p.now(w), ticket, coordinator.Request{Kind: kind, Job: j, NewID: s.fresh})
-	w.flush(p)
+	p.entry.Request(p.now(sim), ticket, coordinator.Request{Kind: kind, Job: j, NewID: s.idFromEntry})
+	sim.flush(p)
 }
 
-// connectSome connects some processes that are not connected.
-func (w *world) connectSome() {
+// connectSome connects one pair of processes that are not connected.
+func (sim *simulation) connectSome() {
 	var pairs [][2]*process
-	for i, e := range w.entries {
-		for _, other := range w.entries[i+1:] {
-			pairs = w.addPair(pairs, e, other)
+	for i, e := range sim.entries {
+		for _, other := range sim.entries[i+1:] {
+			pairs = sim.appendPair(pairs, e, other)
 		}
-		for _, a := range w.agents {
-			pairs = w.addPair(pairs, a, e)
+		for _, a := range sim.agents {
+			pairs = sim.appendPair(pairs, a, e)
 		}
 	}
 	if len(pairs) > 0 {
-		p := pairs[w.pick(len(pairs))]
-		w.connect(p[0], p[1])
+		p := pairs[sim.pick(len(pairs))]
+		sim.connect(p[0], p[1])
 	}
 }
 
-func (w *world) addPair(pairs [][2]*process, a, b *process) [][2]*process {
-	if w.joinable(a, b) {
+func (sim *simulation) appendPair(pairs [][2]*process, a, b *process) [][2]*process {
+	if sim.canConnect(a, b) {
 		return append(pairs, [2]*process{a, b})
 	}
 	return pairs
 }
 
-// joinable reports whether two processes are not connected and can be.
-func (w *world) joinable(a, b *process) bool {
-	if !a.alive || !b.alive || a.split != b.split || w.linked(a, b) || !w.reaches(a, b) {
+// canConnect reports whether two processes are not connected and can be.
+func (sim *simulation) canConnect(a, b *process) bool {
+	if !a.alive || !b.alive || a.side != b.side || sim.connected(a, b) || !sim.regionsReachable(a, b) {
 		return false
 	}
-	return w.blocked == nil || !w.blocked(a, b)
+	return sim.blocked == nil || !sim.blocked(a, b)
 }
 
-func (w *world) cutSome() {
+func (sim *simulation) breakSome() {
 	var whole []*conn
-	for _, c := range w.conns {
-		if !c.cut {
+	for _, c := range sim.conns {
+		if !c.broken {
 			whole = append(whole, c)
 		}
 	}
 	if len(whole) > 0 {
-		w.cutConn(whole[w.pick(len(whole))])
+		sim.breakConn(whole[sim.pick(len(whole))])
 	}
 }
 
-func (w *world) pauseSome() {
-	if p := w.anyOf(w.processes(), (*process).acts); p != nil {
+func (sim *simulation) pauseSome() {
+	if p := sim.anyOf(sim.processes(), (*process).active); p != nil {
 		p.paused = true
-		w.logf("%s pauses", p.peer)
+		sim.logf("%s pauses", p.peer)
 	}
 }
 
-func (w *world) wakeSome() {
-	p := w.anyOf(w.processes(), func(p *process) bool { return p.alive && p.paused })
+func (sim *simulation) resumeSome() {
+	p := sim.anyOf(sim.processes(), func(p *process) bool { return p.alive && p.paused })
 	if p != nil {
-		w.wake(p)
+		sim.resume(p)
 	}
 }
 
-func (w *world) wake(p *process) {
+func (sim *simulation) resume(p *process) {
 	p.paused = false
-	w.logf("%s wakes", p.peer)
+	sim.logf("%s resumes", p.peer)
 }
 
-// killSome ends a process without notice; another takes its seat.
-func (w *world) killSome() {
-	w.kill(w.processes()[w.pick(len(w.entries)+len(w.agents))])
+// killSome ends a process without notice; a new one takes its index.
+func (sim *simulation) killSome() {
+	sim.kill(sim.processes()[sim.pick(len(sim.entries)+len(sim.agents))])
 }
 
-func (w *world) kill(p *process) {
-	w.logf("%s dies", p.peer)
+func (sim *simulation) kill(p *process) {
+	sim.logf("%s dies", p.peer)
 	p.alive = false
-	for _, c := range w.conns {
-		if !c.cut && (c.ends[0] == p || c.ends[1] == p) {
-			w.cutConn(c)
+	for _, c := range sim.conns {
+		if !c.broken && (c.ends[0] == p || c.ends[1] == p) {
+			sim.breakConn(c)
 		}
 	}
 	if p.role == messenger.RoleEntry {
-		w.entries[p.seat] = w.birthEntry(p.seat)
+		sim.entries[p.index] = sim.startEntry(p.index)
 	} else {
-		w.agents[p.seat] = w.birthAgent(p.seat)
+		sim.agents[p.index] = sim.startAgent(p.index)
 	}
 }
 
-// drainSome lets an entry shut down.
-func (w *world) drainSome() {
-	p := w.anyOf(w.entries, func(p *process) bool { return p.acts() && !p.leaving })
+// drainSome starts the shutdown of an entry.
+func (sim *simulation) drainSome() {
+	p := sim.anyOf(sim.entries, func(p *process) bool { return p.active() && !p.leaving })
 	if p == nil {
 		return
 	}
 	p.leaving = true
-	w.logf("%s drains", p.peer)
-	p.entry.Drain(p.now(w))
-	w.flush(p)
+	sim.logf("%s drains", p.peer)
+	p.entry.Drain(p.now(sim))
+	sim.flush(p)
 }
 
-// leaveIfDrained ends an entry that has shut down; another takes its seat. None of
-// its callers may be left without an answer.
-func (w *world) leaveIfDrained(p *process) {
-	if !p.leaving || !p.entry.Drained(p.now(w)) {
+// leaveIfDrained ends an entry whose drain has finished; a new one takes its index. All
+// its callers must have been answered.
+func (sim *simulation) leaveIfDrained(p *process) {
+	if !p.leaving || !p.entry.Drained(p.now(sim)) {
 		return
 	}
-	w.logf("%s has shut down", p.peer)
-	w.oracle.checkGone(p)
-	w.kill(p)
+	sim.logf("%s has shut down", p.peer)
+	sim.oracle.checkShutdown(p)
+	sim.kill(p)
 }
 
-// leaveSome lets an upstream leave, or come back.
-func (w *world) leaveSome() {
-	p := w.anyOf(w.agents, (*process).acts)
+// toggleLeavingSome makes an upstream leave or come back.
+func (sim *simulation) toggleLeavingSome() {
+	p := sim.anyOf(sim.agents, (*process).active)
 	if p == nil {
 		return
 	}
 	p.leaving = !p.leaving
-	w.logf("the upstream of %s leaves: %t", p.peer, p.leaving)
-	w.announce(p)
-	w.flush(p)
+	sim.logf("the upstream of %s leaves: %t", p.peer, p.leaving)
+	sim.announce(p)
+	sim.flush(p)
 }
 
-// heal mends everything and lets time pass until every deadline is over.
-func (w *world) heal() {
-	w.logf("the world heals")
-	w.down = false
-	w.joinRegions()
-	for _, p := range w.processes() {
+// heal ends all faults and advances the time until every deadline has passed.
+func (sim *simulation) heal() {
+	sim.logf("all faults end")
+	sim.platformDown = false
+	sim.rejoinRegions()
+	for _, p := range sim.processes() {
 		if p.paused {
-			w.wake(p)
+			sim.resume(p)
 		}
 		if p.guard != nil && p.leaving {
 			p.leaving = false
-			w.announce(p)
-			w.flush(p)
+			sim.announce(p)
+			sim.flush(p)
 		}
 	}
-	w.settle(600 * time.Millisecond)
-	w.settleUntil(3*time.Second, w.oracle.paid)
+	sim.runFor(600 * time.Millisecond)
+	sim.runUntil(3*time.Second, sim.oracle.allAnswered)
 }
 
-// settle lets everything that is under way happen while time passes.
-func (w *world) settle(d time.Duration) {
-	w.settleUntil(d, func() bool { return false })
+// runFor advances the time and processes everything that is in flight.
+func (sim *simulation) runFor(d time.Duration) {
+	sim.runUntil(d, func() bool { return false })
 }
 
-// settleUntil settles until a condition holds, at most for the given time.
-func (w *world) settleUntil(d time.Duration, done func() bool) {
+// runUntil is runFor until a condition holds, but at most for the given time.
+func (sim *simulation) runUntil(d time.Duration, done func() bool) {
 	const quantum = 60 * time.Millisecond
-	for end := w.now.Add(d); w.now.Before(end) && w.oracle.violation == "" && !done(); {
-		w.quiesce()
-		w.now = w.now.Add(quantum)
-		for _, p := range w.processes() {
-			if p.acts() {
-				w.tick(p)
+	for end := sim.now.Add(d); sim.now.Before(end) && sim.oracle.violation == "" && !done(); {
+		sim.quiesce()
+		sim.now = sim.now.Add(quantum)
+		for _, p := range sim.processes() {
+			if p.active() {
+				sim.tick(p)
 			}
 		}
 	}
-	w.quiesce()
+	sim.quiesce()
 }
 
-// quiesce connects everyone and lets everything happen that takes no time.
-func (w *world) quiesce() {
+// quiesce connects all processes and processes everything that takes no time.
+func (sim *simulation) quiesce() {
 	const bound = 2000
 	for range bound {
-		if w.oracle.violation != "" || !w.quiesceOnce() {
+		if sim.oracle.violation != "" || !sim.quiesceOnce() {
 			return
 		}
 	}
-	w.oracle.fail("the processes exchange messages without end")
+	sim.oracle.fail("the processes exchange messages without end")
 }
 
-func (w *world) quiesceOnce() bool {
-	for i, e := range w.entries {
-		for _, other := range append(append([]*process{}, w.entries[i+1:]...), w.agents...) {
-			if w.joinable(e, other) {
-				w.connect(e, other)
+func (sim *simulation) quiesceOnce() bool {
+	for i, e := range sim.entries {
+		for _, other := range append(append([]*process{}, sim.entries[i+1:]...), sim.agents...) {
+			if sim.canConnect(e, other) {
+				sim.connect(e, other)
 				return true
 			}
 		}
 	}
-	if ends := w.deliverable(); len(ends) > 0 {
-		w.deliver(ends[0])
+	if ends := sim.deliverable(); len(ends) > 0 {
+		sim.deliver(ends[0])
 		return true
 	}
-	for i, c := range w.calls {
-		if w.stall == nil || !w.stall(c) {
-			w.runCall(i, 0)
+	for i, c := range sim.calls {
+		if sim.stallsCall == nil || !sim.stallsCall(c) {
+			sim.runCall(i, 0)
 			return true
 		}
 	}
-	for _, p := range w.agents {
-		if p.acts() && len(p.running) > 0 {
-			w.endTask(p, p.running[0].Ref, messenger.ResultDone)
-			w.flush(p)
+	for _, p := range sim.agents {
+		if p.active() && len(p.running) > 0 {
+			sim.endTask(p, p.running[0].Ref, messenger.ResultDone)
+			sim.flush(p)
 			return true
 		}
 	}
--- a/internal/coordinator/world_test.go
+++ b/internal/coordinator/world_test.go
@@ -25,73 +25,73 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// world is a whole system with virtual time: entries and agents as their real
-// state machines, callers, upstreams, connections and the platform's table. A
-// scheduler picks what happens next from a source of choices, so that a history is
-// repeated by repeating its choices.
-type world struct {
-	pick    func(n int) int // pick returns the next choice, from 0 to n-1.
-	options worldOptions
-	now     time.Time
-	entries []*process // entries has one process a seat; a dead one is replaced in place.
-	agents  []*process
-	conns   []*conn // conns has the connections that some side has not seen end.
-	store   *emulator.Platform
-	calls   []*storeCall
-	down    bool // down means that the platform answers nothing.
-	// blocked reports whether two processes cannot connect, lose whether a call of
-	// the platform is lost, and stall whether it has no end; nil means none does.
-	blocked func(a, b *process) bool
-	lose    func(*storeCall) bool
-	stall   func(*storeCall) bool
-	// sent is told of every frame that is sent; nil if nobody counts.
-	sent   func(*messenger.Frame)
-	oracle oracle
-	births int
-	ids    uint64
-	steps  int
-	buf    bytes.Buffer     // buf is where frames are encoded.
-	trace  *strings.Builder // trace is nil if no trace is wanted.
-	regionsApart
+// simulation is a whole system with virtual time. Entries and agents are the real state
+// machines; callers, upstreams, connections and the platform's table are simulated. A
+// scheduler takes each decision from a source of choices, so that repeating the choices
+// repeats the history.
+type simulation struct {
+	pick         func(n int) int // Returns the next choice, from 0 to n-1.
+	options      simulationOptions
+	now          time.Time
+	entries      []*process // A terminated process is replaced at its index.
+	agents       []*process
+	conns        []*conn // Connections whose end some side has not noticed.
+	store        *emulator.Platform
+	calls        []*storeCall
+	platformDown bool // The platform does not answer.
+	// blocked reports whether two processes cannot connect, losesCall whether a
+	// platform call is lost, and stallsCall whether it never returns; nil means never.
+	blocked    func(a, b *process) bool
+	losesCall  func(*storeCall) bool
+	stallsCall func(*storeCall) bool
+	// onSend is called with every frame that is sent; may be nil.
+	onSend     func(*messenger.Frame)
+	oracle     oracle
+	startCount int
+	ids        uint64
+	steps      int
+	buf        bytes.Buffer     // Buffer for encoding frames.
+	trace      *strings.Builder // nil if no trace is wanted.
+	regionSplit
 }
 
-// worldOptions describe a history.
-type worldOptions struct {
-	entries, agents int
-	slots           int
-	speed           int // speed bounds the messages that arrive in one step.
-	faults          int // faults is the share of steps that are faults, in percent.
-	// rules and guardRules switch rules off; nil leaves all on.
+// simulationOptions are the parameters of a history.
+type simulationOptions struct {
+	entries, agents  int
+	slots            int
+	maxEventsPerStep int // Limit of the messages or platform calls handled in one step.
+	faultPercent     int // Percentage of steps that are faults.
+	// rules, ownerRules and guardRules switch rules off; nil leaves all on.
 	rules      func(*coordinator.Rules)
 	ownerRules func(*owner.Rules)
 	guardRules func(*guard.Rules)
-	// limits changes the limits of entries; nil leaves them.
+	// limits changes the limits of entries; may be nil.
 	limits func(*coordinator.Limits)
-	worldExtras
+	simulationExtras
 }
 
-// process is one run of an entry or agent.
+// process is one incarnation of an entry or agent.
 type process struct {
-	peer    messenger.Peer
-	seat    int
-	role    messenger.Role
-	region  string
-	offset  time.Duration // offset is what its clock is ahead of the world's.
-	step    time.Duration // step is by how much its wall clock was stepped since its birth.
-	clock   timer.Clock
-	alive   bool
-	paused  bool
-	leaving bool // leaving means that it drains.
-	conns   map[messenger.Peer]*conn
-	// split is the side of a split network that the process is on; processes of
+	peer        messenger.Peer
+	index       int
+	role        messenger.Role
+	region      string
+	clockOffset time.Duration // How far its clock is ahead of the simulated time.
+	clockStep   time.Duration // How far its wall clock has been stepped since its start.
+	clock       timer.Clock
+	alive       bool
+	paused      bool
+	leaving     bool // An entry that drains, or an agent whose upstream is leaving.
+	conns       map[messenger.Peer]*conn
+	// side is the side of a split network on which the process is. Processes of
 	// different sides cannot connect, and only side 0 reaches the platform.
-	split   int
+	side    int
 	entry   *coordinator.Coordinator
 	guard   *guard.Guard
-	running []guard.Invocation // running has the calls of the upstream beside the agent.
+	running []guard.Invocation // Running calls of the agent's upstream.
 }
 
-// storeCall is a call of the platform that is under way.
+// storeCall is a platform call in flight.
 type storeCall struct {
 	from  *process
 	read  *registrar.Read
@@ -99,13 +99,13 @@
 }
 
 var (
-	worldStart = time.Unix(1_700_000_000, 0)
+	simulationStart = time.Unix(1_700_000_000, 0)
 
-	// worldLimits are short, so that a history of few steps has takeovers.
-	worldLimits = coordinator.Limits{
+	// testLimits are short, so that even short histories have takeovers.
+	testLimits = coordinator.Limits{
 		Owner: owner.Limits{
-			Window:           worldWindow,
-			MaxClockSkew:     worldClockDifference,
+			Window:           testWindow,
+			MaxClockSkew:     testClockSkew,
 			MaxRecordBytes:   1 << 20,
 			MaxAnswerBytes:   1 << 20,
 			AgentLossTimeout: 300 * time.Millisecond,
@@ -114,16 +114,16 @@
 		},
 		Placer:    placer.Limits{MaxQueued: 1000},
 		Registrar: registrar.Limits{PollInterval: 200 * time.Millisecond, RetryInterval: 50 * time.Millisecond},
-		Leaser:    leaser.Limits{LeaseDuration: worldLease, Margin: 10 * time.Millisecond},
+		Leaser:    leaser.Limits{LeaseDuration: testLease, Margin: 10 * time.Millisecond},
 		Recoverer: recoverer.Limits{
-			LeaseDuration: worldLease,
-			MaxClockSkew:  worldClockDifference,
-			Window:        worldWindow + 2*worldClockDifference,
+			LeaseDuration: testLease,
+			MaxClockSkew:  testClockSkew,
+			Window:        testWindow + 2*testClockSkew,
 		},
 		Enroller: enroller.Limits{
 			UnreachableTimeout:        time.Second,
 			WitnessUnreachableTimeout: 400 * time.Millisecond,
-			Window:                    worldWindow + 2*worldClockDifference,
+			Window:                    testWindow + 2*testClockSkew,
 			Witnesses:                 3,
 		},
 		StartTimeout:           200 * time.Millisecond,
@@ -131,145 +131,145 @@
 		EntryHeartbeatInterval: 50 * time.Millisecond,
 		MinConnectionAge:       100 * time.Millisecond,
 		AnswerGracePeriod:      20 * time.Millisecond,
-		// Records of a few jobs take several pieces, and those of many partitions
+		// The records of a few jobs take several pieces, and those of many partitions
 		// several handovers.
 		HandoverBytes:      4_000,
 		HandoverPieceBytes: 500,
 	}
-	worldGuardLimits = guard.Limits{
-		Window:         worldWindow + 2*worldClockDifference + 200*time.Millisecond,
+	testGuardLimits = guard.Limits{
+		Window:         testWindow + 2*testClockSkew + 200*time.Millisecond,
 		MaxRecordBytes: 1 << 20,
 		MaxWaiting:     8,
 	}
 )
 
 const (
-	worldService         = "quote"
-	worldWindow          = 10 * time.Second
-	worldClockDifference = 100 * time.Millisecond
-	worldLease           = 300 * time.Millisecond
+	testService   = "quote"
+	testWindow    = 10 * time.Second
+	testClockSkew = 100 * time.Millisecond
+	testLease     = 300 * time.Millisecond
 )
 
-func newWorld(pick func(int) int, o worldOptions) *world {
-	w := &world{
+func newSimulation(pick func(int) int, o simulationOptions) *simulation {
+	sim := &simulation{
 		pick:    pick,
 		options: o,
-		now:     worldStart,
+		now:     simulationStart,
 		store:   emulator.NewPlatform(1, emulator.Faults{}),
 	}
-	w.oracle.init()
-	for seat := range o.entries {
-		w.entries = append(w.entries, w.birthEntry(seat))
+	sim.oracle.init()
+	for index := range o.entries {
+		sim.entries = append(sim.entries, sim.startEntry(index))
 	}
-	for seat := range o.agents {
-		w.agents = append(w.agents, w.birthAgent(seat))
+	for index := range o.agents {
+		sim.agents = append(sim.agents, sim.startAgent(index))
 	}
-	return w
+	return sim
 }
 
-func (w *world) birthEntry(seat int) *process {
-	p := w.birth(messenger.RoleEntry, seat)
+func (sim *simulation) startEntry(index int) *process {
+	p := sim.startProcess(messenger.RoleEntry, index)
 	rules := coordinator.DefaultRules()
-	if w.options.rules != nil {
-		w.options.rules(&rules)
+	if sim.options.rules != nil {
+		sim.options.rules(&rules)
 	}
-	limits := worldLimits
-	if w.options.limits != nil {
-		w.options.limits(&limits)
+	limits := testLimits
+	if sim.options.limits != nil {
+		sim.options.limits(&limits)
 	}
-	if w.options.recordBytes > 0 {
-		limits.Owner.MaxRecordBytes = w.options.recordBytes
+	if sim.options.recordBytes > 0 {
+		limits.Owner.MaxRecordBytes = sim.options.recordBytes
 	}
-	limits.Regions = w.options.regionNames()
+	limits.Regions = sim.options.regionNames()
 	p.entry = coordinator.New(registrar.Entry{
 		Peer:       p.peer,
 		Region:     p.region,
 		DataCentre: "dc-0",
-		PeerAddr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + seat)}), uint16(1024+w.births)),
+		PeerAddr:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + index)}), uint16(1024+sim.startCount)),
 	}, limits, rules)
-	if w.options.ownerRules != nil {
-		w.options.ownerRules(&p.entry.Owner().Rules)
+	if sim.options.ownerRules != nil {
+		sim.options.ownerRules(&p.entry.Owner().Rules)
 	}
-	p.entry.SetPath(worldService, "/")
+	p.entry.SetPath(testService, "/")
 	return p
 }
 
-func (w *world) birthAgent(seat int) *process {
-	p := w.birth(messenger.RoleAgent, seat)
-	limits := worldGuardLimits
-	if w.options.recordBytes > 0 {
-		limits.MaxRecordBytes = w.options.recordBytes / agentShare
+func (sim *simulation) startAgent(index int) *process {
+	p := sim.startProcess(messenger.RoleAgent, index)
+	limits := testGuardLimits
+	if sim.options.recordBytes > 0 {
+		limits.MaxRecordBytes = sim.options.recordBytes / agentMemoryDivisor
 	}
-	p.guard = guard.New(p.now(w), limits)
-	if w.options.guardRules != nil {
-		w.options.guardRules(&p.guard.Rules)
+	p.guard = guard.New(p.now(sim), limits)
+	if sim.options.guardRules != nil {
+		sim.options.guardRules(&p.guard.Rules)
 	}
-	w.announce(p)
+	sim.announce(p)
 	return p
 }
 
-func (w *world) birth(role messenger.Role, seat int) *process {
-	w.births++
-	regions := w.options.regionNames()
+func (sim *simulation) startProcess(role messenger.Role, index int) *process {
+	sim.startCount++
+	regions := sim.options.regionNames()
 	p := &process{
-		peer:   messenger.Peer(fmt.Sprintf("%s-%d.%d", role, seat, w.births)),
-		seat:   seat,
+		peer:   messenger.Peer(fmt.Sprintf("%s-%d.%d", role, index, sim.startCount)),
+		index:  index,
 		role:   role,
-		region: regions[seat%len(regions)],
+		region: regions[index%len(regions)],
 		alive:  true,
 		conns:  make(map[messenger.Peer]*conn),
 	}
-	p.setOffset(w, time.Duration(w.births*37%11)*10*time.Millisecond)
+	p.setClockOffset(sim, time.Duration(sim.startCount*37%11)*10*time.Millisecond)
 	return p
 }
 
-// acts reports whether the process handles events.
-func (p *process) acts() bool { return p.alive && !p.paused }
+// active reports whether the process handles events.
+func (p *process) active() bool { return p.alive && !p.paused }
 
-// flush carries out what a process decided.
-func (w *world) flush(p *process) {
+// flush carries out the actions that a process has decided on.
+func (sim *simulation) flush(p *process) {
 	if p.role == messenger.RoleAgent {
-		w.flushAgent(p)
+		sim.flushAgent(p)
 		return
 	}
-	out := p.entry.Take(p.now(w))
+	out := p.entry.Take(p.now(sim))
 	for _, s := range out.Sends {
-		w.send(p, s.To, s.Frame)
+		sim.send(p, s.To, s.Frame)
 	}
 	for _, a := range out.Answers {
-		w.logf("%s answers %d: %s %s (%s)", p.peer, a.Ticket, a.Answer.Outcome, a.Answer.Reason, a.Answer.Detail)
-		w.oracle.answered(p, a)
+		sim.logf("%s answers %d: %s %s (%s)", p.peer, a.Ticket, a.Answer.Outcome, a.Answer.Reason, a.Answer.Detail)
+		sim.oracle.answered(p, a)
 	}
 	for i := range out.Reads {
-		w.calls = append(w.calls, &storeCall{from: p, read: &out.Reads[i]})
+		sim.calls = append(sim.calls, &storeCall{from: p, read: &out.Reads[i]})
 	}
 	for i := range out.Writes {
-		w.calls = append(w.calls, &storeCall{from: p, write: &out.Writes[i]})
+		sim.calls = append(sim.calls, &storeCall{from: p, write: &out.Writes[i]})
 	}
 }
 
-func (w *world) flushAgent(p *process) {
-	out := p.guard.Take(p.now(w))
+func (sim *simulation) flushAgent(p *process) {
+	out := p.guard.Take(p.now(sim))
 	for _, ref := range out.Aborts {
-		w.endTask(p, ref, messenger.ResultFailed)
+		sim.endTask(p, ref, messenger.ResultFailed)
 	}
 	for _, call := range out.Invocations {
-		w.logf("%s starts %s/%d", p.peer, w.oracle.name(call.Ref.Submission), call.Ref.Index)
-		w.oracle.started(call.Ref)
-		w.checkRegion(p, call.Ref)
-		w.checkMemory(p)
+		sim.logf("%s starts %s/%d", p.peer, sim.oracle.name(call.Ref.Submission), call.Ref.Index)
+		sim.oracle.started(call.Ref)
+		sim.checkRegion(p, call.Ref)
+		sim.checkMemory(p)
 		p.running = append(p.running, call)
 	}
 	for _, s := range out.Sends {
-		w.send(p, s.To, s.Frame)
+		sim.send(p, s.To, s.Frame)
 	}
 	if len(out.Aborts) > 0 {
-		w.flush(p)
+		sim.flush(p)
 	}
 }
 
 // endTask ends a running call of the upstream.
-func (w *world) endTask(p *process, ref guard.TaskRef, kind messenger.ResultKind) {
+func (sim *simulation) endTask(p *process, ref guard.TaskRef, kind messenger.ResultKind) {
 	for i, call := range p.running {
 		if call.Ref != ref {
 			continue
@@ -279,18 +279,18 @@
 		if kind != messenger.ResultDone {
 			r.Payload = nil
 		}
-		p.guard.Ended(p.now(w), ref, r)
+		p.guard.Ended(p.now(sim), ref, r)
 		return
 	}
 }
 
-// resultOf returns what the upstream answers to a payload.
+// resultOf returns the upstream's result for a payload.
 func resultOf(payload []byte) []byte { return append([]byte("done:"), payload...) }
 
-func (w *world) announce(p *process) {
-	p.guard.Announce(p.now(w), invoker.Announcement{
-		Services:    []string{worldService},
-		Slots:       w.options.slots,
+func (sim *simulation) announce(p *process) {
+	p.guard.Announce(p.now(sim), invoker.Announcement{
+		Services:    []string{testService},
+		Slots:       sim.options.slots,
 		Connections: 8,
 		MemoryBytes: 1 << 30,
 		TimeToLive:  submitter.Duration(time.Hour),
@@ -298,30 +298,30 @@
 	})
 }
 
-// tick lets a process notice the time.
-func (w *world) tick(p *process) {
+// tick makes a process handle the passing of time.
+func (sim *simulation) tick(p *process) {
 	if p.role == messenger.RoleAgent {
 		for _, call := range p.running {
-			if !p.now(w).Before(call.EndBy) {
-				w.endTask(p, call.Ref, messenger.ResultFailed)
+			if !p.now(sim).Before(call.EndBy) {
+				sim.endTask(p, call.Ref, messenger.ResultFailed)
 			}
 		}
-		p.guard.Tick(p.now(w))
-		w.flush(p)
+		p.guard.Tick(p.now(sim))
+		sim.flush(p)
 		return
 	}
-	p.entry.Tick(p.now(w))
-	w.flush(p)
-	w.oracle.checkDeadlines(w, p)
-	w.leaveIfDrained(p)
+	p.entry.Tick(p.now(sim))
+	sim.flush(p)
+	sim.oracle.checkDeadlines(sim, p)
+	sim.leaveIfDrained(p)
 }
 
-// runCall carries out a call of the platform. Fault 0 is none; 1 loses the call,
-// 2 loses the answer, 3 loses the answer and lets the call take effect later.
-func (w *world) runCall(i, fault int) {
-	c := w.calls[i]
-	w.calls = append(w.calls[:i:i], w.calls[i+1:]...)
-	if w.loses(c) && fault == 0 {
+// runCall carries out a platform call. Fault 0 is none; 1 loses the call, 2 loses the
+// answer, 3 loses the answer and applies the call later.
+func (sim *simulation) runCall(i, fault int) {
+	c := sim.calls[i]
+	sim.calls = append(sim.calls[:i:i], sim.calls[i+1:]...)
+	if sim.callIsLost(c) && fault == 0 {
 		fault = 1
 	}
 	var err error
@@ -332,11 +332,11 @@
 	var outcome storer.Outcome
 	switch {
 	case c.read != nil && fault == 0:
-		rows = w.store.Read(c.read.Prefix)
+		rows = sim.store.Read(c.read.Prefix)
 	case c.write != nil && (fault == 0 || fault == 2):
-		outcome = w.store.Write(c.write.Transaction)
+		outcome = sim.store.Write(c.write.Transaction)
 	case c.write != nil && fault == 3:
-		w.calls = append(w.calls, &storeCall{write: c.write})
+		sim.calls = append(sim.calls, &storeCall{write: c.write})
 	}
 	if c.from == nil || !c.from.alive {
 		return
@@ -345,38 +345,38 @@
 		outcome = storer.Outcome{}
 	}
 	if c.read != nil {
-		c.from.entry.StoreRead(c.from.now(w), c.read.ID, rows, err)
+		c.from.entry.StoreRead(c.from.now(sim), c.read.ID, rows, err)
 	} else {
-		w.logf("%s learns of write %d: applied=%t err=%v", c.from.peer, c.write.ID, outcome.Applied, err)
-		c.from.entry.StoreWritten(c.from.now(w), c.write.ID, outcome, err)
+		sim.logf("%s gets the outcome of write %d: applied=%t err=%v", c.from.peer, c.write.ID, outcome.Applied, err)
+		c.from.entry.StoreWritten(c.from.now(sim), c.write.ID, outcome, err)
 	}
-	w.flush(c.from)
+	sim.flush(c.from)
 }
 
-// loses reports whether the platform cannot be reached for a call.
-func (w *world) loses(c *storeCall) bool {
-	return w.down || c.from != nil && (c.from.split != 0 || w.cutFromPlatform(c.from)) || w.lose != nil && w.lose(c)
+// callIsLost reports whether a call does not reach the platform.
+func (sim *simulation) callIsLost(c *storeCall) bool {
+	return sim.platformDown || c.from != nil && (c.from.side != 0 || sim.lacksPlatform(c.from)) || sim.losesCall != nil && sim.losesCall(c)
 }
 
-// newID returns an id made at the given time.
-func (w *world) newID(at time.Time, accept func(identifier.Partition) bool) identifier.Submission {
+// newID returns an id with the given time, in a partition that accept returns true for.
+func (sim *simulation) newID(at time.Time, accept func(identifier.Partition) bool) identifier.Submission {
 	for {
-		w.ids++
+		sim.ids++
 		var id identifier.Submission
 		var stamp [8]byte
 		binary.BigEndian.PutUint64(stamp[:], uint64(at.UnixMilli())<<16)
 		copy(id[:6], stamp[:6])
 		id[6] = 0x70
 		id[8] = 0x80
-		binary.BigEndian.PutUint32(id[12:], uint32(w.ids))
+		binary.BigEndian.PutUint32(id[12:], uint32(sim.ids))
 		if accept(id.Partition()) {
 			return id
 		}
 	}
 }
 
-func (w *world) logf(format string, args ...any) {
-	if w.trace != nil {
-		fmt.Fprintf(w.trace, "%9s %5d  %s\n", w.now.Sub(worldStart), w.steps, fmt.Sprintf(format, args...))
+func (sim *simulation) logf(format string, args ...any) {
+	if sim.trace != nil {
+		fmt.Fprintf(sim.trace, "%9s %5d  %s\n", sim.now.Sub(simulationStart), sim.steps, fmt.Sprintf(format, args...))
 	}
 }
