--- a/internal/assigner/agent.go
+++ b/internal/assigner/agent.go
@@ -11,42 +11,42 @@
 
 // agent is a connected agent.
 type agent struct {
-	peer       messenger.Peer
-	instance   string
-	dataCentre string
-	at         int // at is the place in the order of agents.
-	load       messenger.Load
-	known      bool          // known means that the agent has told its load.
-	heardAt    time.Duration // heardAt is when the latest frame came.
-	clock      time.Duration // clock is the latest stamp of the agent.
-	echoed     time.Duration // echoed is the latest stamp of the agent that it was sent back.
-	sentAt     time.Duration // sentAt is when the latest frame was sent.
-	emptyAt    time.Duration // emptyAt is when the last task there ended.
-	wokenAt    time.Duration // wokenAt is when a task was launched there after a rest.
-	filledAt   time.Duration // filledAt is when a task was launched there while there was none.
-	sent       uint64        // sent counts the launches on the connection.
-	ahead      []ahead       // ahead has the launches that the load does not cover yet.
-	tasks      map[messenger.TaskRef]*task
-	launches   []messenger.Launch
-	withdraws  []messenger.Withdraw
+	peer          messenger.Peer
+	instance      string
+	dataCentre    string
+	position      int // at is the place in the order of agents.
+	load          messenger.Load
+	loadKnown     bool               // known means that the agent has told its load.
+	lastReceived  time.Duration      // heardAt is when the latest frame came.
+	lastClock     time.Duration      // clock is the latest stamp of the agent.
+	lastEcho      time.Duration      // echoed is the latest stamp of the agent that it was sent back.
+	lastSent      time.Duration      // sentAt is when the latest frame was sent.
+	idleSince     time.Duration      // emptyAt is when the last task there ended.
+	leftIdleAt    time.Duration      // wokenAt is when a task was launched there after a rest.
+	firstLaunchAt time.Duration      // filledAt is when a task was launched there while there was none.
+	sent          uint64             // sent counts the launches on the connection.
+	unreported    []unreportedLaunch // ahead has the launches that the load does not cover yet.
+	tasks         map[messenger.TaskRef]*task
+	launches      []messenger.Launch
+	withdraws     []messenger.Withdraw
 }
 
 // spare returns what is not occupied of the capacity, in thousandths of a core.
-func (g *agent) spare() int64 { return g.load.Capacity.MilliCPU - g.occupied().MilliCPU }
+func (g *agent) spareCPU() int64 { return g.load.Capacity.MilliCPU - g.occupied().MilliCPU }
 
 // index notes where each agent stands in their order.
-func (a *Assigner) index() {
-	a.spares = a.spares[:0]
+func (a *Assigner) updatePositions() {
+	a.spareCPU = a.spareCPU[:0]
 	for i, g := range a.order {
-		g.at = i
-		a.spares = append(a.spares, g.spare())
+		g.position = i
+		a.spareCPU = append(a.spareCPU, g.spareCPU())
 	}
 }
 
 // ahead is the room of one launch.
-type ahead struct {
-	sequence uint64
-	room     messenger.Resources
+type unreportedLaunch struct {
+	sequence  uint64
+	resources messenger.Resources
 }
 
 // sorted returns the tasks at the agent in a fixed order.
@@ -68,19 +68,19 @@
 	}
 	for i := range a.departed {
 		if a.departed[i].instance == instance {
-			a.departed[i].until = now
+			a.departed[i].leaseExpiry = now
 		}
 	}
 	a.resolveDeparted(now)
 	g := &agent{
-		peer: peer, instance: instance, dataCentre: dataCentre, heardAt: now, sentAt: now,
-		emptyAt: now - a.limits.IdleThreshold, tasks: make(map[messenger.TaskRef]*task),
+		peer: peer, instance: instance, dataCentre: dataCentre, lastReceived: now, lastSent: now,
+		idleSince: now - a.limits.IdleThreshold, tasks: make(map[messenger.TaskRef]*task),
 	}
 	a.agents[peer] = g
 	a.order = append(a.order, g)
 	slices.SortFunc(a.order, func(x, y *agent) int { return cmp.Compare(x.instance, y.instance) })
-	a.index()
-	a.decide(Decision{Event: "agent-connected", Instance: instance})
+	a.updatePositions()
+	a.logDecision(Decision{Event: "agent-connected", Instance: instance})
 }
 
 // AgentDown takes the end of an agent's connection. What ran there may still be at
@@ -92,12 +92,12 @@
 	}
 	delete(a.agents, peer)
 	a.order = slices.DeleteFunc(a.order, func(o *agent) bool { return o == g })
-	a.index()
-	a.decide(Decision{Event: "agent-disconnected", Instance: g.instance, Age: now - g.heardAt})
+	a.updatePositions()
+	a.logDecision(Decision{Event: "agent-disconnected", Instance: g.instance, Age: now - g.lastReceived})
 	if len(g.tasks) == 0 {
 		return
 	}
-	d := departure{instance: g.instance, until: max(g.heardAt, g.filledAt+wakeSlack) + a.limits.LeaseExpiry}
+	d := departedAgent{instance: g.instance, leaseExpiry: max(g.lastReceived, g.firstLaunchAt+wakeMargin) + a.limits.LeaseExpiry}
 	d.tasks = g.sorted()
 	for _, t := range d.tasks {
 		t.state = stateDeparted
@@ -108,9 +108,9 @@
 
 // resolveDeparted places anew what has certainly ended.
 func (a *Assigner) resolveDeparted(now time.Duration) {
-	var due []departure
-	a.departed = slices.DeleteFunc(a.departed, func(d departure) bool {
-		if now < d.until {
+	var due []departedAgent
+	a.departed = slices.DeleteFunc(a.departed, func(d departedAgent) bool {
+		if now < d.leaseExpiry {
 			return false
 		}
 		due = append(due, d)
@@ -118,31 +118,31 @@
 	})
 	for _, d := range due {
 		for _, t := range d.tasks {
-			a.decide(Decision{Event: "task-lost", Task: t.ref, Run: t.run, Instance: d.instance})
+			a.logDecision(Decision{Event: "task-lost", Task: t.ref, Run: t.run, Instance: d.instance})
 			t.avoid = append(t.avoid, d.instance)
-			a.resolve(now, t, true)
+			a.endRun(now, t, true)
 		}
 	}
 }
 
 // resolve takes the end of a run that was not completed.
-func (a *Assigner) resolve(now time.Duration, t *task, ran bool) {
+func (a *Assigner) endRun(now time.Duration, t *task, ran bool) {
 	j := t.job
-	j.out--
+	j.running--
 	j.ran = j.ran || ran
 	if j.answered {
 		t.state = stateDropped
 		a.forget(now, j)
 		return
 	}
-	a.suspend(t)
+	a.makePending(t)
 }
 
 // checkAgents closes the connections of agents that are silent.
 func (a *Assigner) checkAgents(now time.Duration) {
 	for _, g := range slices.Clone(a.order) {
 		if a.silence(now, g) > a.limits.LivenessTimeout {
-			a.decide(Decision{Event: "agent-silent", Instance: g.instance, Age: now - g.heardAt})
+			a.logDecision(Decision{Event: "agent-silent", Instance: g.instance, Age: now - g.lastReceived})
 			a.out.Closes = append(a.out.Closes, g.peer)
 			a.AgentDown(now, g.peer)
 		}
@@ -151,25 +151,25 @@
 
 // wakeSlack is how long the first task after a rest may wait at its agent: returnAfter,
 // and what clocks that differ by 2% drift apart in a rest of 2 s, with a margin.
-const wakeSlack = 100 * time.Millisecond
+const wakeMargin = 100 * time.Millisecond
 
 // rested reports whether an agent has had no task for a time.
-func (a *Assigner) rested(now time.Duration, g *agent, d time.Duration) bool {
-	return len(g.tasks) == 0 && now-g.emptyAt >= d
+func (a *Assigner) idle(now time.Duration, g *agent, d time.Duration) bool {
+	return len(g.tasks) == 0 && now-g.idleSince >= d
 }
 
 // silence returns for how long an agent has been silent that should not be.
 func (a *Assigner) silence(now time.Duration, g *agent) time.Duration {
-	silence := now - max(g.heardAt, g.wokenAt)
+	silence := now - max(g.lastReceived, g.leftIdleAt)
 	// The agent begins its rest later or earlier than the entry, by the way of a frame.
-	if a.rested(now, g, a.limits.IdleThreshold/2) {
+	if a.idle(now, g, a.limits.IdleThreshold/2) {
 		silence -= a.limits.IdleHeartbeatInterval
 	}
 	return silence
 }
 
 // doubtful reports whether an agent has been silent for so long that nothing is sent to it.
-func (a *Assigner) doubtful(now time.Duration, g *agent) bool {
+func (a *Assigner) suspect(now time.Duration, g *agent) bool {
 	return a.silence(now, g) > a.limits.SuspicionTimeout
 }
 
@@ -179,90 +179,90 @@
 	if g == nil {
 		return
 	}
-	g.heardAt = now
+	g.lastReceived = now
 	if f.Stamp != nil {
-		g.clock = max(g.clock, f.Stamp.Clock)
+		g.lastClock = max(g.lastClock, f.Stamp.Clock)
 	}
 	for i := range f.Ends {
-		a.ended(now, g, &f.Ends[i])
+		a.applyEnd(now, g, &f.Ends[i])
 	}
 	if f.Load != nil {
-		a.loaded(g, f.Load)
-		a.spares[g.at] = g.spare()
+		a.applyLoad(g, f.Load)
+		a.spareCPU[g.position] = g.spareCPU()
 	}
 }
 
-func (a *Assigner) loaded(g *agent, l *messenger.Load) {
-	if !g.known || g.load.State != l.State || g.load.Incarnation != l.Incarnation {
-		a.decide(Decision{Event: "upstream-state", Instance: g.instance, Reason: string(l.State)})
+func (a *Assigner) applyLoad(g *agent, l *messenger.Load) {
+	if !g.loadKnown || g.load.State != l.State || g.load.Incarnation != l.Incarnation {
+		a.logDecision(Decision{Event: "upstream-state", Instance: g.instance, Reason: string(l.State)})
 	}
 	if l.Capacity == (messenger.Resources{}) {
 		l.Capacity = g.load.Capacity
 	}
-	g.load, g.known = *l, true
-	g.ahead = slices.DeleteFunc(g.ahead, func(h ahead) bool { return h.sequence <= l.LaunchesReceived })
+	g.load, g.loadKnown = *l, true
+	g.unreported = slices.DeleteFunc(g.unreported, func(h unreportedLaunch) bool { return h.sequence <= l.LaunchesReceived })
 }
 
 // ended takes the end of a run.
-func (a *Assigner) ended(now time.Duration, g *agent, e *messenger.End) {
+func (a *Assigner) applyEnd(now time.Duration, g *agent, e *messenger.End) {
 	t := g.tasks[e.Task]
 	if t == nil || t.run != e.Run {
 		return
 	}
 	delete(g.tasks, e.Task)
-	g.emptyAt = now
+	g.idleSince = now
 	j := t.job
 	t.agent = nil
 	switch e.Kind {
 	case messenger.EndDone:
 		a.queue(j.Queue).learn(t.step.DeclaredRunTime, e.RunTime)
 		a.meanRun += time.Duration(learnWeight * float64(e.RunTime-a.meanRun))
-		a.done(now, t)
+		a.completeTask(now, t)
 		return
 	case messenger.EndFailed:
-		if a.failed(now, t) {
+		if a.countFailure(now, t) {
 			return
 		}
 	case messenger.EndStaleRun:
-		j.base += runStep
+		j.baseRun += runStep
 	}
 	if e.Kind != messenger.EndReturned && e.Kind != messenger.EndWithdrawn {
 		t.avoid = append(t.avoid, g.instance)
 	}
 	if !j.answered {
-		a.decide(Decision{Event: "task-ended", Task: t.ref, Run: t.run, Instance: g.instance, Reason: string(e.Kind), Age: e.RunTime})
+		a.logDecision(Decision{Event: "task-ended", Task: t.ref, Run: t.run, Instance: g.instance, Reason: string(e.Kind), Age: e.RunTime})
 	}
 	ran := e.Kind.Ran() && (e.Kind != messenger.EndWithdrawn || e.Started)
-	a.resolve(now, t, ran)
+	a.endRun(now, t, ran)
 }
 
 // failed counts a failure and reports whether it was the task's last.
-func (a *Assigner) failed(now time.Duration, t *task) bool {
+func (a *Assigner) countFailure(now time.Duration, t *task) bool {
 	t.failures++
 	j := t.job
 	if j.answered || t.failures < j.MaxAttempts {
 		return false
 	}
 	t.state = stateDone
-	j.out--
+	j.running--
 	j.ran = true
 	a.finish(now, j, OutcomeFailed, "attempts-used-up", 0)
 	return true
 }
 
 // done completes a task, and its job with the last one.
-func (a *Assigner) done(now time.Duration, t *task) {
+func (a *Assigner) completeTask(now time.Duration, t *task) {
 	j := t.job
-	j.out--
+	j.running--
 	j.ran = true
 	t.state = stateDone
-	j.left[t.ref.Step]--
+	j.unfinished[t.ref.Step]--
 	switch {
 	case j.answered:
 		a.forget(now, j)
-	case !slices.ContainsFunc(j.left, func(n int) bool { return n > 0 }):
+	case !slices.ContainsFunc(j.unfinished, func(n int) bool { return n > 0 }):
 		a.finish(now, j, OutcomeCompleted, "", 0)
-	case j.left[t.ref.Step] == 0:
+	case j.unfinished[t.ref.Step] == 0:
 		a.unblock(j)
 	}
 }
--- a/internal/assigner/assigner.go
+++ b/internal/assigner/assigner.go
@@ -123,24 +123,24 @@
 
 // Assigner is the state of one entry.
 type Assigner struct {
-	limits     Limits
-	dataCentre string
-	random     *rand.Rand
-	agents     map[messenger.Peer]*agent
-	order      []*agent // order has the agents in a fixed order.
-	spares     []int64  // spares has what is not occupied at each of them, in thousandths of a core.
-	jobs       map[string]*job
-	pending    []*task // pending has the tasks that are ready and not placed.
-	missed     []*task // missed has the tasks that found no room in the pass.
-	unsorted   bool    // unsorted means that pending is not in the order of urgency.
-	departed   []departure
-	queues     map[string]*queue
-	entries    int           // entries is the number of entries that share the upstreams, with this one.
-	meanRun    time.Duration // meanRun is the mean run time of recent tasks.
-	short      bool          // short means that tasks that can be in time have found no room.
-	serving    bool          // serving means that an upstream was usable when it was last looked at.
-	servingAt  time.Duration // servingAt is when the first upstream became usable.
-	outageAt   time.Duration // outageAt is when the last upstream became unusable.
+	limits        Limits
+	dataCentre    string
+	random        *rand.Rand
+	agents        map[messenger.Peer]*agent
+	order         []*agent // order has the agents in a fixed order.
+	spareCPU      []int64  // spares has what is not occupied at each of them, in thousandths of a core.
+	jobs          map[string]*job
+	pending       []*task // pending has the tasks that are ready and not placed.
+	unscheduled   []*task // missed has the tasks that found no room in the pass.
+	unsorted      bool    // unsorted means that pending is not in the order of urgency.
+	departed      []departedAgent
+	queues        map[string]*queue
+	entries       int           // entries is the number of entries that share the upstreams, with this one.
+	meanRun       time.Duration // meanRun is the mean run time of recent tasks.
+	lacksCapacity bool          // short means that tasks that can be in time have found no room.
+	serving       bool          // serving means that an upstream was usable when it was last looked at.
+	servingAt     time.Duration // servingAt is when the first upstream became usable.
+	outageAt      time.Duration // outageAt is when the last upstream became unusable.
 	// rejectingAt is when the first of the latest jobs was rejected, with no lull since, and
 	// rejectedAt when the last was.
 	rejectingAt, rejectedAt time.Duration
@@ -149,10 +149,10 @@
 }
 
 // departure has tasks at an agent that is away, which may still run.
-type departure struct {
-	instance string
-	until    time.Duration // until is when they have certainly ended.
-	tasks    []*task
+type departedAgent struct {
+	instance    string
+	leaseExpiry time.Duration // until is when they have certainly ended.
+	tasks       []*task
 }
 
 // New returns an assigner for an entry in a data centre. The random numbers spread
@@ -187,7 +187,7 @@
 // asked for there.
 func (a *Assigner) Resources() (capacity, used messenger.Resources) {
 	for _, g := range a.order {
-		if g.known && g.load.State == messenger.RunnerReady {
+		if g.loadKnown && g.load.State == messenger.RunnerReady {
 			capacity = capacity.Add(g.load.Capacity)
 			used = used.Add(g.occupied())
 		}
@@ -209,7 +209,7 @@
 	}
 	for _, g := range a.order {
 		for i := range counts {
-			if g.known && g.load.State == counts[i].State {
+			if g.loadKnown && g.load.State == counts[i].State {
 				counts[i].Count++
 			}
 		}
@@ -232,16 +232,16 @@
 func (a *Assigner) Serving(now time.Duration) bool {
 	return slices.ContainsFunc(a.order, func(g *agent) bool {
 		ready := g.load.State == messenger.RunnerReady || g.load.State == messenger.RunnerProbing
-		return ready && !a.doubtful(now, g)
+		return ready && !a.suspect(now, g)
 	})
 }
 
 // watch notes when the last upstream became unusable.
-func (a *Assigner) watch(now time.Duration) {
+func (a *Assigner) updateServing(now time.Duration) {
 	serving := a.Serving(now)
 	if a.serving && !serving {
 		a.outageAt = now
-		a.decide(Decision{Event: "no-upstream-left"})
+		a.logDecision(Decision{Event: "no-upstream-left"})
 	}
 	if serving && !a.serving {
 		a.servingAt = now
@@ -251,12 +251,12 @@
 
 // settleAfter is how long after the first usable upstream others may still connect: agents
 // dial an entry within some 200 ms of its start.
-const settleAfter = 300 * time.Millisecond
+const settleTime = 300 * time.Millisecond
 
 // settling reports whether only a part of the upstreams may be known, so that what they
 // cannot do says little.
 func (a *Assigner) settling(now time.Duration) bool {
-	return a.serving && now-a.servingAt < settleAfter
+	return a.serving && now-a.servingAt < settleTime
 }
 
 // outage returns for how long no upstream has been usable: 0 if one is, or if none has
@@ -271,16 +271,16 @@
 // Take returns what must be done since the last call.
 func (a *Assigner) Advance(now time.Duration) Output {
 	a.checkAgents(now)
-	a.watch(now)
+	a.updateServing(now)
 	a.resolveDeparted(now)
 	a.checkDeadlines(now)
-	a.rejectUseless(now)
-	a.place(now)
-	a.rejectOvertaken(now)
+	a.rejectTooLate(now)
+	a.schedule(now)
+	a.rejectDisplaced(now)
 	a.send(now)
 	out := a.out
 	a.out = Output{}
 	return out
 }
 
-func (a *Assigner) decide(d Decision) { a.out.Decisions = append(a.out.Decisions, d) }
+func (a *Assigner) logDecision(d Decision) { a.out.Decisions = append(a.out.Decisions, d) }
--- a/internal/assigner/job.go
+++ b/internal/assigner/job.go
@@ -14,20 +14,20 @@
 
 type job struct {
 	Job
-	arrived   time.Duration
-	expected  time.Duration // expected is the longest chain of work, as it is expected.
-	objective time.Duration // objective is when the answer is in time.
-	useless   time.Duration // useless is when the answer is worth nothing any more.
-	deadline  time.Duration // deadline is when the caller leaves.
-	tasks     []*task
-	left      []int // left counts the tasks of each step that are not done.
-	launched  bool  // launched means that a task was sent to an agent.
-	launchAt  time.Duration
-	ran       bool // ran means that a task may have run.
-	out       int  // out counts the tasks that may be at work.
-	answered  bool // answered means that the job is only kept until nothing of it is at work.
-	base      uint64
-	next      *job // next is a job of the same id, which begins when this one has ended.
+	arrived      time.Duration
+	expected     time.Duration // expected is the longest chain of work, as it is expected.
+	objective    time.Duration // objective is when the answer is in time.
+	latestUseful time.Duration // useless is when the answer is worth nothing any more.
+	deadline     time.Duration // deadline is when the caller leaves.
+	tasks        []*task
+	unfinished   []int // left counts the tasks of each step that are not done.
+	launched     bool  // launched means that a task was sent to an agent.
+	launchAt     time.Duration
+	ran          bool // ran means that a task may have run.
+	running      int  // out counts the tasks that may be at work.
+	answered     bool // answered means that the job is only kept until nothing of it is at work.
+	baseRun      uint64
+	replacement  *job // next is a job of the same id, which begins when this one has ended.
 }
 
 // state is where a task stands.
@@ -68,22 +68,22 @@
 // given up on the first request, or it has been answered.
 func (a *Assigner) supersede(now time.Duration, old, j *job) {
 	if !old.answered {
-		a.decide(Decision{Event: "job-resubmitted", Task: messenger.TaskRef{Job: j.ID}})
+		a.logDecision(Decision{Event: "job-resubmitted", Task: messenger.TaskRef{Job: j.ID}})
 		a.drop(old)
 		old.answered = true
 		a.answer(now, old, OutcomeGivenUp, "resubmitted", 0)
 	}
-	if last := old.next; last != nil {
+	if last := old.replacement; last != nil {
 		last.answered = true
 		a.answer(now, last, OutcomeGivenUp, "resubmitted", 0)
 	}
-	j.base = old.base + runStep
-	old.next = j
+	j.baseRun = old.baseRun + runStep
+	old.replacement = j
 	a.forget(now, old)
 }
 
 func (a *Assigner) newJob(now time.Duration, s Job) *job {
-	j := &job{Job: s, arrived: now, left: make([]int, len(s.Steps))}
+	j := &job{Job: s, arrived: now, unfinished: make([]int, len(s.Steps))}
 	q := a.queue(s.Queue)
 	chain := make([]time.Duration, len(s.Steps))
 	for i := range s.Steps {
@@ -95,7 +95,7 @@
 		}
 		chain[i] = before + expected
 		j.expected = max(j.expected, chain[i])
-		j.left[i] = step.Count
+		j.unfinished[i] = step.Count
 		for n := range step.Count {
 			j.tasks = append(j.tasks, &task{
 				job: j, ref: messenger.TaskRef{Job: s.ID, Step: i, Index: n}, step: step,
@@ -106,7 +106,7 @@
 	objective := time.Duration(s.SlowdownFactor*float64(j.expected)) + s.LatencyAllowance
 	j.objective = now + objective
 	j.deadline = now + s.CallerTimeout - a.limits.AnswerMargin
-	j.useless = min(j.deadline, now+lateFactor*objective)
+	j.latestUseful = min(j.deadline, now+lateFactor*objective)
 	return j
 }
 
@@ -126,7 +126,7 @@
 	switch {
 	case !fitting:
 		a.reject(now, j, "fits-no-upstream", 0)
-	case now+wait+j.expected > j.useless && !a.settling(now):
+	case now+wait+j.expected > j.latestUseful && !a.settling(now):
 		reason := "overload"
 		if a.outage(now) > 0 {
 			reason = "no-upstream"
@@ -138,14 +138,14 @@
 // unblock makes the tasks pending whose earlier steps are done.
 func (a *Assigner) unblock(j *job) {
 	for _, t := range j.tasks {
-		if t.state == stateBlocked && !slices.ContainsFunc(t.step.After, func(b int) bool { return j.left[b] > 0 }) {
-			a.suspend(t)
+		if t.state == stateBlocked && !slices.ContainsFunc(t.step.After, func(b int) bool { return j.unfinished[b] > 0 }) {
+			a.makePending(t)
 		}
 	}
 }
 
 // suspend puts a task among those that wait for a place.
-func (a *Assigner) suspend(t *task) {
+func (a *Assigner) makePending(t *task) {
 	t.state = statePending
 	t.agent = nil
 	a.pending = append(a.pending, t)
@@ -154,10 +154,10 @@
 
 // Leave takes the end of a caller's connection: nobody waits for the answer.
 func (a *Assigner) CallerLeft(now time.Duration, id string, ticket uint64) {
-	for j := a.jobs[id]; j != nil; j = j.next {
+	for j := a.jobs[id]; j != nil; j = j.replacement {
 		if j.Ticket == ticket && !j.answered {
 			j.answered = true
-			a.decide(Decision{Event: "caller-left", Task: messenger.TaskRef{Job: id}})
+			a.logDecision(Decision{Event: "caller-left", Task: messenger.TaskRef{Job: id}})
 			a.drop(j)
 			if a.jobs[id] == j {
 				a.forget(now, j)
@@ -200,7 +200,7 @@
 
 // abandon answers a job that will not be completed, with the truth about what ran.
 func (a *Assigner) abandon(now time.Duration, j *job, reason string, wait time.Duration) {
-	if j.ran || j.out > 0 {
+	if j.ran || j.running > 0 {
 		a.finish(now, j, OutcomeGivenUp, reason, 0)
 		return
 	}
@@ -208,11 +208,11 @@
 }
 
 func (a *Assigner) reject(now time.Duration, j *job, reason string, wait time.Duration) {
-	if now-a.rejectedAt > lullAfter {
+	if now-a.rejectedAt > overloadGap {
 		a.rejectingAt = now
 	}
 	a.rejectedAt = now
-	a.finish(now, j, OutcomeRejected, reason, a.comeBack(max(wait, now-a.rejectingAt)))
+	a.finish(now, j, OutcomeRejected, reason, a.retryDelay(max(wait, now-a.rejectingAt)))
 }
 
 const (
@@ -220,13 +220,13 @@
 	// whole seconds of the header.
 	minRetryAfter = time.Second
 	// lullAfter is the time without a rejection after which an overload is over.
-	lullAfter = time.Second
+	overloadGap = time.Second
 )
 
 // comeBack returns when a rejected caller may come back: when what is ahead has drained,
 // or the overload has lasted for twice as long, and later by a part of that, so that
 // callers do not return together.
-func (a *Assigner) comeBack(wait time.Duration) time.Duration {
+func (a *Assigner) retryDelay(wait time.Duration) time.Duration {
 	wait = max(wait, minRetryAfter)
 	return wait + time.Duration(a.random.Int64N(int64(wait)))
 }
@@ -268,15 +268,15 @@
 // forget removes an answered job of which nothing is at work, and begins the next
 // one of the same id.
 func (a *Assigner) forget(now time.Duration, j *job) {
-	if !j.answered || j.out > 0 || a.jobs[j.ID] != j {
+	if !j.answered || j.running > 0 || a.jobs[j.ID] != j {
 		return
 	}
 	delete(a.jobs, j.ID)
-	next := j.next
+	next := j.replacement
 	if next == nil || next.answered {
 		return
 	}
-	next.base = max(next.base, j.base+runStep)
+	next.baseRun = max(next.baseRun, j.baseRun+runStep)
 	a.admit(now, next)
 }
 
@@ -294,7 +294,7 @@
 func (a *Assigner) rejectPending(now time.Duration, reason string, holds func(*task) bool) {
 	for {
 		i := slices.IndexFunc(a.pending, func(t *task) bool {
-			return !t.job.answered && t.job.out == 0 && !t.job.ran && holds(t)
+			return !t.job.answered && t.job.running == 0 && !t.job.ran && holds(t)
 		})
 		if i < 0 {
 			return
@@ -306,16 +306,16 @@
 }
 
 // rejectUseless rejects the jobs whose answer would be worth nothing.
-func (a *Assigner) rejectUseless(now time.Duration) {
+func (a *Assigner) rejectTooLate(now time.Duration) {
 	start := now + a.outage(now)
-	a.rejectPending(now, "too-late", func(t *task) bool { return start+t.expected > t.job.useless })
+	a.rejectPending(now, "too-late", func(t *task) bool { return start+t.expected > t.job.latestUseful })
 }
 
 // rejectOvertaken rejects the jobs that can only be late, while others find no room
 // that can still be in time: they come first.
-func (a *Assigner) rejectOvertaken(now time.Duration) {
-	if a.short && !a.settling(now) {
-		a.rejectPending(now, "overtaken", func(t *task) bool { return t.urgency() < now })
+func (a *Assigner) rejectDisplaced(now time.Duration) {
+	if a.lacksCapacity && !a.settling(now) {
+		a.rejectPending(now, "overtaken", func(t *task) bool { return t.latestStart() < now })
 	}
 }
 
--- a/internal/assigner/place.go
+++ b/internal/assigner/place.go
@@ -12,18 +12,18 @@
 const (
 	// returnAfter is how long a task may wait at an agent until it goes back, so that
 	// it can be placed where room has become free.
-	returnAfter = 25 * time.Millisecond
+	maxAgentWait = 25 * time.Millisecond
 	// lookAhead is the longest expected wait with which a task is sent to an agent: it
 	// covers the way there, so that room that becomes free is used at once.
-	lookAhead = 3 * time.Millisecond
+	maxLaunchWait = 3 * time.Millisecond
 	// scatter is the weight of chance in each choice. Entries with the same view, which
 	// is as old as the last report, must not choose the same upstream: among equal
 	// ones the chance is in proportion to the room that is free.
-	scatter = 12 * time.Millisecond
+	randomWeight = 12 * time.Millisecond
 	// clockSkew is by how much the clock of an agent may be off, as a divisor: 2%.
-	clockSkew = 50
+	clockSkewDivisor = 50
 	// minFree is the least share of room that counts as free.
-	minFree = 0.01
+	minFreeShare = 0.01
 	// avoidCost is what an upstream counts more where the task has ended badly.
 	avoidCost = 300 * time.Millisecond
 	// defaultRun is the run time of tasks until one is known.
@@ -33,68 +33,68 @@
 )
 
 // urgency returns the latest start with which the job meets its objective.
-func (t *task) urgency() time.Duration { return t.job.objective - t.expected }
+func (t *task) latestStart() time.Duration { return t.job.objective - t.expected }
 
 // place launches the waiting tasks, the most urgent first. What cannot be in time
 // any more comes after what still can.
-func (a *Assigner) place(now time.Duration) {
-	a.short = false
+func (a *Assigner) schedule(now time.Duration) {
+	a.lacksCapacity = false
 	if len(a.pending) == 0 {
 		return
 	}
 	if a.unsorted {
 		slices.SortStableFunc(a.pending, func(x, y *task) int {
-			return cmp.Or(cmp.Compare(x.job.Priority, y.job.Priority), cmp.Compare(x.urgency(), y.urgency()), x.ref.Compare(y.ref))
+			return cmp.Or(cmp.Compare(x.job.Priority, y.job.Priority), cmp.Compare(x.latestStart(), y.latestStart()), x.ref.Compare(y.ref))
 		})
 		a.unsorted = false
 	}
-	late, misses := a.placeAll(now, func(t *task) bool { return t.urgency() >= now })
-	a.short = misses > 0 && a.serving
+	late, unscheduled := a.scheduleSelected(now, func(t *task) bool { return t.latestStart() >= now })
+	a.lacksCapacity = unscheduled > 0 && a.serving
 	if late {
-		a.placeAll(now, func(t *task) bool { return t.urgency() < now })
+		a.scheduleSelected(now, func(t *task) bool { return t.latestStart() < now })
 	}
 }
 
 // placeAll launches the tasks that are selected. It reports whether any was not, and
 // how many found no room.
-func (a *Assigner) placeAll(now time.Duration, selected func(*task) bool) (skipped bool, misses int) {
-	tries := 0
-	a.missed = a.missed[:0]
+func (a *Assigner) scheduleSelected(now time.Duration, selected func(*task) bool) (skipped bool, unscheduled int) {
+	failedAttempts := 0
+	a.unscheduled = a.unscheduled[:0]
 	a.pending = slices.DeleteFunc(a.pending, func(t *task) bool {
 		if !selected(t) {
 			skipped = true
 			return false
 		}
-		if tries >= maxTries || slices.ContainsFunc(a.missed, t.asksMore) {
-			misses++
+		if failedAttempts >= maxFailedAttempts || slices.ContainsFunc(a.unscheduled, t.needsAtLeast) {
+			unscheduled++
 			return false
 		}
 		g, wait := a.choose(now, t)
 		if g == nil {
-			misses++
-			tries++
-			a.missed = append(a.missed, t)
+			unscheduled++
+			failedAttempts++
+			a.unscheduled = append(a.unscheduled, t)
 			return false
 		}
 		a.launch(now, t, g, wait)
 		return true
 	})
-	return skipped, misses
+	return skipped, unscheduled
 }
 
 // maxTries bounds the tasks that are tried in vain in one pass, each of which asks for
 // less than those before it or for another label.
-const maxTries = 16
+const maxFailedAttempts = 16
 
 // asksMore reports whether a task asks for as much as another one or more, of the same
 // upstreams.
-func (t *task) asksMore(o *task) bool {
+func (t *task) needsAtLeast(o *task) bool {
 	return t.job.Service == o.job.Service && t.step.Label == o.step.Label && o.step.Resources.Fits(t.step.Resources)
 }
 
 // maxLooks bounds the upstreams with room that are compared for a task, and as many
 // without: more make a choice hardly better, and take more than 2 us.
-const maxLooks = 24
+const maxCandidates = 24
 
 // choose returns the agent whose upstream is expected to end the task first, among
 // some of those with room, and how long the task is expected to wait there. It returns
@@ -103,18 +103,18 @@
 func (a *Assigner) choose(now time.Duration, t *task) (*agent, time.Duration) {
 	var best *agent
 	var bestCost, bestWait, bestKey time.Duration
-	elsewhere := time.Duration(math.MaxInt64)
+	fullCost := time.Duration(math.MaxInt64)
 	next := 0
-	if len(a.order) > maxLooks {
+	if len(a.order) > maxCandidates {
 		next = a.random.IntN(len(a.order))
 	}
-	looks, others := 0, 0
-	for i := 0; i < len(a.order) && looks < maxLooks; i++ {
+	candidates, fullCandidates := 0, 0
+	for i := 0; i < len(a.order) && candidates < maxCandidates; i++ {
 		at := next
 		if next++; next == len(a.order) {
 			next = 0
 		}
-		if others >= maxLooks && t.step.Resources.MilliCPU > a.spares[at] {
+		if fullCandidates >= maxCandidates && t.step.Resources.MilliCPU > a.spareCPU[at] {
 			continue
 		}
 		g := a.order[at]
@@ -123,17 +123,17 @@
 		}
 		wait := g.wait(t.step.Resources, a.meanRun)
 		cost := wait + a.cost(t, g)
-		if wait > lookAhead {
-			others++
-			elsewhere = min(elsewhere, cost)
+		if wait > maxLaunchWait {
+			fullCandidates++
+			fullCost = min(fullCost, cost)
 			continue
 		}
-		looks++
-		if key := cost + a.chance(g); best == nil || key < bestKey {
+		candidates++
+		if key := cost + a.randomCost(g); best == nil || key < bestKey {
 			best, bestCost, bestWait, bestKey = g, cost, wait, key
 		}
 	}
-	if best != nil && elsewhere < bestCost && now+bestCost > t.urgency() && now+elsewhere <= t.urgency() {
+	if best != nil && fullCost < bestCost && now+bestCost > t.latestStart() && now+fullCost <= t.latestStart() {
 		return nil, 0
 	}
 	return best, bestWait
@@ -143,9 +143,9 @@
 func (a *Assigner) eligible(now time.Duration, t *task, g *agent) bool {
 	l := &g.load
 	switch {
-	case !g.known || a.doubtful(now, g) || l.Service != t.job.Service:
+	case !g.loadKnown || a.suspect(now, g) || l.Service != t.job.Service:
 		return false
-	case a.insists(l):
+	case a.allowSuspect(l):
 	case l.State == messenger.RunnerProbing:
 		if len(g.tasks) > 0 || l.Used.MilliCPU > 0 || l.Queued.MilliCPU > 0 {
 			return false
@@ -153,18 +153,18 @@
 	case l.State != messenger.RunnerReady:
 		return false
 	}
-	return t.step.suits(l) && t.belowMost(g)
+	return t.step.matches(l) && t.belowUpstreamLimit(g)
 }
 
 // insists reports whether a suspect upstream is used all the same: with most of the
 // upstreams of a service suspect, the fault is not theirs.
-func (a *Assigner) insists(l *messenger.Load) bool {
+func (a *Assigner) allowSuspect(l *messenger.Load) bool {
 	if l.State != messenger.RunnerSuspect && l.State != messenger.RunnerProbing {
 		return false
 	}
 	suspect, all := 0, 0
 	for _, g := range a.order {
-		if !g.known || g.load.Service != l.Service {
+		if !g.loadKnown || g.load.Service != l.Service {
 			continue
 		}
 		switch g.load.State {
@@ -175,27 +175,27 @@
 			all++
 		}
 	}
-	return suspect*maxSuspect > all
+	return suspect*maxSuspectDivisor > all
 }
 
 // maxSuspect is the share of the upstreams that may be passed over as suspect, as a
 // divisor: a half, some five times of what fails at once.
-const maxSuspect = 2
+const maxSuspectDivisor = 2
 
 // before reports whether a task that can be in time goes before those of a job.
 func (t *task) before(j *job) bool {
 	if t.job.Priority != j.Priority {
 		return t.job.Priority < j.Priority
 	}
-	return t.urgency() < j.objective-j.expected
+	return t.latestStart() < j.objective-j.expected
 }
 
 // suits reports whether an upstream has the label and the size for a step.
-func (s *Step) suits(l *messenger.Load) bool {
+func (s *Step) matches(l *messenger.Load) bool {
 	return s.Resources.Fits(l.Capacity) && (s.Label == "" || slices.Contains(l.Labels, s.Label))
 }
 
-func (t *task) belowMost(g *agent) bool {
+func (t *task) belowUpstreamLimit(g *agent) bool {
 	most := t.step.MaxPerUpstream
 	if most == 0 {
 		return true
@@ -230,22 +230,22 @@
 
 // chance returns the random part of a choice: the least of several is in proportion
 // to the room that is free.
-func (a *Assigner) chance(g *agent) time.Duration {
+func (a *Assigner) randomCost(g *agent) time.Duration {
 	l := &g.load
 	if l.Capacity.MilliCPU == 0 {
 		return 0
 	}
 	used := g.occupied()
-	free := max(minFree, 1-float64(used.MilliCPU)/float64(l.Capacity.MilliCPU))
-	return time.Duration(float64(scatter) * math.Log(a.random.ExpFloat64()/free))
+	free := max(minFreeShare, 1-float64(used.MilliCPU)/float64(l.Capacity.MilliCPU))
+	return time.Duration(float64(randomWeight) * math.Log(a.random.ExpFloat64()/free))
 }
 
 // occupied returns the room in use or asked for at the agent, with the launches that
 // its load does not cover.
 func (g *agent) occupied() messenger.Resources {
 	r := g.load.Used.Add(g.load.Queued)
-	for _, h := range g.ahead {
-		r = r.Add(h.room)
+	for _, h := range g.unreported {
+		r = r.Add(h.resources)
 	}
 	return r
 }
@@ -279,19 +279,19 @@
 	var capacity, used messenger.Resources
 	for _, g := range a.order {
 		l := &g.load
-		if !g.known || l.Service != j.Service || l.State != messenger.RunnerReady || a.doubtful(now, g) {
+		if !g.loadKnown || l.Service != j.Service || l.State != messenger.RunnerReady || a.suspect(now, g) {
 			continue
 		}
 		capacity = capacity.Add(l.Capacity)
 		used = used.Add(g.occupied())
 	}
-	if !a.everySuits(j) {
+	if !a.everyStepMatches(j) {
 		return false, 0
 	}
 	for _, t := range a.pending {
 		if t.job == j {
 			used = used.Add(t.step.Resources)
-		} else if t.urgency() >= now && t.before(j) {
+		} else if t.latestStart() >= now && t.before(j) {
 			// The other entries have as much waiting.
 			for range a.entries {
 				used = used.Add(t.step.Resources)
@@ -307,16 +307,16 @@
 
 // everySuits reports whether each step has an upstream of the service that could
 // run it. With none known that is open, and assumed.
-func (a *Assigner) everySuits(j *job) bool {
+func (a *Assigner) everyStepMatches(j *job) bool {
 	known := false
 	suits := make([]bool, len(j.Steps))
 	for _, g := range a.order {
-		if !g.known || g.load.Service != j.Service || g.load.Capacity == (messenger.Resources{}) {
+		if !g.loadKnown || g.load.Service != j.Service || g.load.Capacity == (messenger.Resources{}) {
 			continue
 		}
 		known = true
 		for i := range j.Steps {
-			suits[i] = suits[i] || j.Steps[i].suits(&g.load)
+			suits[i] = suits[i] || j.Steps[i].matches(&g.load)
 		}
 	}
 	return !known || !slices.Contains(suits, false)
@@ -328,51 +328,51 @@
 		j.launched, j.launchAt = true, now
 	}
 	t.run++
-	t.run = max(t.run, j.base+1)
+	t.run = max(t.run, j.baseRun+1)
 	g.sent++
-	if a.rested(now, g, a.limits.IdleThreshold/2) {
-		g.wokenAt = now
+	if a.idle(now, g, a.limits.IdleThreshold/2) {
+		g.leftIdleAt = now
 	}
 	if len(g.tasks) == 0 {
-		g.filledAt = now
+		g.firstLaunchAt = now
 	}
 	t.state, t.agent = stateLaunched, g
-	j.out++
+	j.running++
 	g.tasks[t.ref] = t
-	g.ahead = append(g.ahead, ahead{sequence: g.sent, room: t.step.Resources})
-	a.spares[g.at] -= t.step.Resources.MilliCPU
-	age := now - g.heardAt
-	agentNow := g.clock + age
+	g.unreported = append(g.unreported, unreportedLaunch{sequence: g.sent, resources: t.step.Resources})
+	a.spareCPU[g.position] -= t.step.Resources.MilliCPU
+	age := now - g.lastReceived
+	agentNow := g.lastClock + age
 	g.launches = append(g.launches, messenger.Launch{
 		Task: t.ref, Run: t.run, Payload: j.Payload, Resources: t.step.Resources, Service: j.Service,
-		Urgency:         agentNow + t.urgency() - now,
-		StartBy:         agentNow + min(returnAfter+age/clockSkew, j.deadline-now),
-		ExpectedRunTime: t.expected, Incarnation: g.load.Incarnation, Failures: t.failures, AllowSuspect: a.insists(&g.load),
+		Urgency:         agentNow + t.latestStart() - now,
+		StartBy:         agentNow + min(maxAgentWait+age/clockSkewDivisor, j.deadline-now),
+		ExpectedRunTime: t.expected, Incarnation: g.load.Incarnation, Failures: t.failures, AllowSuspect: a.allowSuspect(&g.load),
 		Priority: j.Priority,
 	})
-	a.decide(Decision{Event: "task-launched", Task: t.ref, Run: t.run, Instance: g.instance, Wait: wait, Age: age})
+	a.logDecision(Decision{Event: "task-launched", Task: t.ref, Run: t.run, Instance: g.instance, Wait: wait, Age: age})
 }
 
 // send makes the frames for the agents.
 func (a *Assigner) send(now time.Duration) {
 	for _, g := range a.order {
-		if len(g.launches)+len(g.withdraws) == 0 && !a.beatDue(now, g) {
+		if len(g.launches)+len(g.withdraws) == 0 && !a.heartbeatDue(now, g) {
 			continue
 		}
 		f := &messenger.Frame{
 			Launches: g.launches, Withdraws: g.withdraws,
-			Stamp: &messenger.Stamp{Clock: now, Echo: g.clock},
+			Stamp: &messenger.Stamp{Clock: now, Echo: g.lastClock},
 		}
-		g.launches, g.withdraws, g.sentAt, g.echoed = nil, nil, now, g.clock
+		g.launches, g.withdraws, g.lastSent, g.lastEcho = nil, nil, now, g.lastClock
 		a.out.Sends = append(a.out.Sends, Send{To: g.peer, Frame: f})
 	}
 }
 
 // beatDue reports whether a frame must be sent to an agent, so that both sides know of
 // each other. One that rests is answered, so that its beats alone set the pace.
-func (a *Assigner) beatDue(now time.Duration, g *agent) bool {
-	if a.rested(now, g, a.limits.IdleThreshold) {
-		return g.clock > g.echoed || now-g.sentAt >= a.limits.IdleHeartbeatInterval+a.limits.HeartbeatInterval
+func (a *Assigner) heartbeatDue(now time.Duration, g *agent) bool {
+	if a.idle(now, g, a.limits.IdleThreshold) {
+		return g.lastClock > g.lastEcho || now-g.lastSent >= a.limits.IdleHeartbeatInterval+a.limits.HeartbeatInterval
 	}
-	return now-g.sentAt >= a.limits.HeartbeatInterval
+	return now-g.lastSent >= a.limits.HeartbeatInterval
 }
--- a/internal/creditor/creditor.go
+++ b/internal/creditor/creditor.go
@@ -37,18 +37,18 @@
 
 // Creditor is the state of one agent's division.
 type Creditor struct {
-	limits  Limits
-	slots   int
-	shares  []*share // shares has the connected entries in order of arrival.
-	orphans int      // orphans counts the tasks of entries that are gone.
-	grants  []Grant
+	limits        Limits
+	slots         int
+	shares        []*share // shares has the connected entries in order of arrival.
+	departedTasks int      // orphans counts the tasks of entries that are gone.
+	grants        []Grant
 }
 
 // share is what one entry has of the slots.
 type share struct {
 	entry       messenger.Peer
 	outstanding int // outstanding counts the tasks that run or wait for the entry.
-	told        int // told is the limit that the entry knows; -1 if none.
+	sentLimit   int // told is the limit that the entry knows; -1 if none.
 }
 
 // New returns a creditor without slots.
@@ -69,7 +69,7 @@
 // EntryUp adds an entry.
 func (c *Creditor) EntryUp(entry messenger.Peer) {
 	c.EntryDown(entry)
-	c.shares = append(c.shares, &share{entry: entry, told: -1})
+	c.shares = append(c.shares, &share{entry: entry, sentLimit: -1})
 }
 
 // EntryDown removes an entry. The tasks that it has running keep their slots
@@ -77,7 +77,7 @@
 func (c *Creditor) EntryDown(entry messenger.Peer) {
 	for i, s := range c.shares {
 		if s.entry == entry {
-			c.orphans += s.outstanding
+			c.departedTasks += s.outstanding
 			c.shares = append(c.shares[:i], c.shares[i+1:]...)
 			return
 		}
@@ -90,7 +90,7 @@
 		s.outstanding++
 		return
 	}
-	c.orphans++
+	c.departedTasks++
 }
 
 // Ended counts the end of a task. The empty entry stands for one that is gone.
@@ -99,11 +99,11 @@
 		s.outstanding--
 		return
 	}
-	c.orphans = max(0, c.orphans-1)
+	c.departedTasks = max(0, c.departedTasks-1)
 }
 
 // Told records that an entry was sent its limit.
-func (c *Creditor) GrantSent(g Grant) { c.share(g.Entry).told = g.Limit }
+func (c *Creditor) GrantSent(g Grant) { c.share(g.Entry).sentLimit = g.Limit }
 
 // Divide returns the limits that entries do not know. What it returns is valid
 // until the next call.
@@ -111,7 +111,7 @@
 	used := c.Outstanding()
 	c.grants = c.grants[:0]
 	for _, s := range c.shares {
-		if limit := c.limit(used - s.outstanding); limit != s.told {
+		if limit := c.limit(used - s.outstanding); limit != s.sentLimit {
 			c.grants = append(c.grants, Grant{Entry: s.entry, Limit: limit})
 		}
 	}
@@ -128,7 +128,7 @@
 
 // Outstanding returns the tasks at the agent, those of absent entries included.
 func (c *Creditor) Outstanding() int {
-	n := c.orphans
+	n := c.departedTasks
 	for _, s := range c.shares {
 		n += s.outstanding
 	}
--- a/internal/creditor/creditor_test.go
+++ b/internal/creditor/creditor_test.go
@@ -62,7 +62,7 @@
 
 func (d *driver) start(rt *rapid.T) {
 	peer := entry(rt)
-	if s := d.c.share(peer); s != nil && d.outstanding[peer] < s.told {
+	if s := d.c.share(peer); s != nil && d.outstanding[peer] < s.sentLimit {
 		d.c.Started(peer)
 		d.outstanding[peer]++
 	}
--- a/internal/placer/agent.go
+++ b/internal/placer/agent.go
@@ -9,22 +9,22 @@
 
 // agent is what the placer knows of one agent and its upstream.
 type agent struct {
-	peer     messenger.Peer
-	place    Location
-	capacity messenger.Capacity
-	credit   int  // credit is how many tasks may be outstanding: limit, or less after refusals.
-	limit    int  // limit is the number of slots or, once there is one, the agent's limit.
-	credited bool // credited means that the agent itself has set the limit.
-	held     Hold // held is what an operator has set; empty lets the agent work.
+	peer      messenger.Peer
+	place     Location
+	capacity  messenger.Capacity
+	credit    int  // credit is how many tasks may be outstanding: limit, or less after refusals.
+	limit     int  // limit is the number of slots or, once there is one, the agent's limit.
+	creditSet bool // credited means that the agent itself has set the limit.
+	hold      Hold // held is what an operator has set; empty lets the agent work.
 	// sent has the tasks that are outstanding at the agent.
 	sent map[taskRef]outstanding
 	// deep counts the tasks in sent that are of deep jobs.
-	deep int
+	bulk int
 	// freeMemory and freeAccelerators are what the outstanding tasks leave.
 	freeMemory       int64
 	freeAccelerators int
-	seats            []*seat // seats has one entry a service that the agent serves.
-	used             uint64  // used is the number of the latest decision for the agent.
+	memberships      []*membership // seats has one entry a service that the agent serves.
+	lastChosen       uint64        // used is the number of the latest decision for the agent.
 	health           health
 
 	// batch is the latest assignment of the running dispatch for the agent; it
@@ -34,7 +34,7 @@
 }
 
 // seat is an agent among the agents of one service.
-type seat struct {
+type membership struct {
 	agent    *agent
 	service  *service
 	position int // position is that in service.seats, -1 while the agent takes no task.
@@ -54,23 +54,23 @@
 	queue *teamQueue
 	// expected is the expected run time when the task was sent.
 	expected time.Duration
-	deep     bool // deep means that the task is one of a deep job.
+	bulk     bool // deep means that the task is one of a deep job.
 }
 
 // free returns how many more tasks the agent may get that are not deep. Deep ones
 // do not count against a credit that the agent has set, since they yield to others.
-func (a *agent) free() int {
+func (a *agent) freeCredit() int {
 	credit := a.credit
-	if a.credited {
-		credit += a.deep
+	if a.creditSet {
+		credit += a.bulk
 	}
-	return min(credit, a.health.allowed) - len(a.sent)
+	return min(credit, a.health.maxOutstanding) - len(a.sent)
 }
 
 // holds reports whether an agent has what a task needs now. An upstream whose memory
 // is all free takes a task that may need more, as the guard does; no job is admitted
 // whose tasks are known to need more than any upstream has.
-func (a *agent) holds(need Requirements) bool {
+func (a *agent) fits(need Requirements) bool {
 	fits := need.MemoryBytes <= a.freeMemory || a.freeMemory > 0 && a.freeMemory == a.capacity.MemoryBytes
 	return fits && need.Accelerators <= a.freeAccelerators
 }
@@ -79,42 +79,42 @@
 
 // seatBefore orders the agents of a service: probes first, then those with the
 // most free credit, then the one that was chosen longest ago.
-func seatBefore(a, b *seat) bool {
+func membershipBefore(a, b *membership) bool {
 	x, y := a.agent, b.agent
 	xProbe, yProbe := x.health.state == stateProbing, y.health.state == stateProbing
 	if xProbe != yProbe {
 		return xProbe
 	}
-	if xf, yf := x.free(), y.free(); xf != yf {
+	if xf, yf := x.freeCredit(), y.freeCredit(); xf != yf {
 		return xf > yf
 	}
-	if x.deep != y.deep {
-		return x.deep < y.deep
+	if x.bulk != y.bulk {
+		return x.bulk < y.bulk
 	}
-	return x.used < y.used
+	return x.lastChosen < y.lastChosen
 }
 
 // rerank moves an agent to where its free credit puts it in each service.
 func (p *Placer) rerank(a *agent) {
-	works := a.serving() && a.held == ""
-	for _, s := range a.seats {
-		s.count()
-		want := works && (a.free() > 0 || p.mayTakeDeep(a))
+	works := a.serving() && a.hold == ""
+	for _, s := range a.memberships {
+		s.updateCredits()
+		want := works && (a.freeCredit() > 0 || p.couldTakeBulk(a))
 		switch {
 		case want && s.position < 0:
-			s.service.seats.push(s)
+			s.service.available.push(s)
 		case want:
-			s.service.seats.fix(s.position)
+			s.service.available.fix(s.position)
 		case s.position >= 0:
-			s.service.seats.remove(s.position)
+			s.service.available.remove(s.position)
 		}
 	}
 }
 
 // count keeps the service's sum of credits.
-func (s *seat) count() {
+func (s *membership) updateCredits() {
 	credit := 0
-	if s.agent.serving() && s.agent.health.allowed > 0 {
+	if s.agent.serving() && s.agent.health.maxOutstanding > 0 {
 		credit = s.agent.credit
 	}
 	s.service.credits += credit - s.credit
@@ -122,29 +122,29 @@
 }
 
 // reseat gives the agent a seat in each service that it serves.
-func (p *Placer) reseat(a *agent) {
-	for _, s := range a.seats {
+func (p *Placer) updateMemberships(a *agent) {
+	for _, s := range a.memberships {
 		if s.position >= 0 {
-			s.service.seats.remove(s.position)
+			s.service.available.remove(s.position)
 		}
 		s.service.credits -= s.credit
 		s.credit = 0
-		s.service.members = removeSeat(s.service.members, s)
+		s.service.members = removeMembership(s.service.members, s)
 	}
-	old := a.seats
-	a.seats = nil
+	old := a.memberships
+	a.memberships = nil
 	for _, name := range a.capacity.Services {
-		s := findSeat(old, name)
+		s := findMembership(old, name)
 		if s == nil {
-			s = &seat{agent: a, service: p.service(name), position: -1}
+			s = &membership{agent: a, service: p.service(name), position: -1}
 		}
-		a.seats = append(a.seats, s)
+		a.memberships = append(a.memberships, s)
 		s.service.members = append(s.service.members, s)
 	}
 	p.rerank(a)
 }
 
-func findSeat(seats []*seat, service string) *seat {
+func findMembership(seats []*membership, service string) *membership {
 	for _, s := range seats {
 		if s.service.name == service {
 			return s
@@ -153,7 +153,7 @@
 	return nil
 }
 
-func removeSeat(seats []*seat, s *seat) []*seat {
+func removeMembership(seats []*membership, s *membership) []*membership {
 	for i, o := range seats {
 		if o == s {
 			return append(seats[:i], seats[i+1:]...)
@@ -169,8 +169,8 @@
 		return o, false
 	}
 	delete(a.sent, ref)
-	if o.deep {
-		a.deep--
+	if o.bulk {
+		a.bulk--
 	}
 	a.freeMemory += o.need.MemoryBytes
 	a.freeAccelerators += o.need.Accelerators
@@ -178,10 +178,10 @@
 }
 
 // hold sets aside what a task needs.
-func (a *agent) hold(ref taskRef, o outstanding) {
+func (a *agent) reserve(ref taskRef, o outstanding) {
 	a.sent[ref] = o
-	if o.deep {
-		a.deep++
+	if o.bulk {
+		a.bulk++
 	}
 	a.freeMemory -= o.need.MemoryBytes
 	a.freeAccelerators -= o.need.Accelerators
--- a/internal/placer/backlog.go
+++ b/internal/placer/backlog.go
@@ -11,7 +11,7 @@
 		return 0
 	}
 	n := 0
-	for _, s := range a.seats {
+	for _, s := range a.memberships {
 		n += s.service.waiting
 	}
 	return n
--- a/internal/placer/configure.go
+++ b/internal/placer/configure.go
@@ -33,6 +33,6 @@
 		p.setKey(q)
 		t.jobs.push(q)
 	}
-	t.class = int64(t.used / p.limits.Quantum)
-	p.returnTurn(t)
+	t.round = int64(t.virtualTime / p.limits.Quantum)
+	p.updateTurn(t)
 }
--- a/internal/placer/deep_test.go
+++ b/internal/placer/deep_test.go
@@ -17,7 +17,7 @@
 		{usual: 0, want: 8}, // No results yet.
 		{usual: 300 * time.Millisecond, want: 8},
 		{usual: time.Millisecond, want: 5 * 8},
-		{usual: 10 * time.Microsecond, want: maxExtra},
+		{usual: 10 * time.Microsecond, want: maxBulkPerAgent},
 	}
 	for _, c := range cases {
 		p := New(Limits{})
@@ -29,7 +29,7 @@
 		for range p.limits.MinSamples {
 			s.learned.learn(0, c.usual, 0)
 		}
-		if got := p.mostExtra(s, p.agents["a"]); got != c.want {
+		if got := p.maxBulkWaiting(s, p.agents["a"]); got != c.want {
 			t.Errorf("tasks of %v: %d may wait, want %d", c.usual, got, c.want)
 		}
 	}
--- a/internal/placer/dispatch.go
+++ b/internal/placer/dispatch.go
@@ -11,12 +11,12 @@
 	meta        []assignmentMeta // meta has one entry an assignment.
 	placements  []placement
 	tasks       []uint16 // tasks is the memory of the assignments' tasks.
-	blocked     []*queued
+	blocked     []*queuedJob
 	yielding    []*teamQueue // yielding has the teams that wait until others have enough.
 }
 
 type assignmentMeta struct {
-	job      *queued
+	job      *queuedJob
 	previous int // previous is an earlier assignment for the same agent, -1 for none.
 	count    int
 }
@@ -38,14 +38,14 @@
 	// no agent with free credit has the memory or accelerators for them.
 	maxBlocked = 16
 	// maxTried bounds the agents that are looked at for one task.
-	maxTried = 64
+	maxCandidates = 64
 )
 
 // Dispatch takes tasks from the queues as far as credits allow and returns them
 // as one batch for each job and agent. What it returns is valid until the next
 // call.
 func (p *Placer) Dispatch(now time.Time) []Assignment {
-	p.touch(now)
+	p.recordStart(now)
 	p.output.reset()
 	p.probeDue(now)
 	p.returnDelayed(now)
@@ -60,7 +60,7 @@
 // Requeue puts a task of a known job back to the front of its queue, at once
 // while the budget for placing again allows it and later otherwise.
 func (p *Placer) Requeue(now time.Time, j Job, index uint16) {
-	p.touch(now)
+	p.recordStart(now)
 	if p.retries.Spend() {
 		p.requeue(j, index)
 		return
@@ -72,14 +72,14 @@
 	s := p.service(j.Service)
 	work := s.learned.runTime(j.Requirements[index].RunTime)
 	if q := p.jobs[j.Submission]; q != nil {
-		q.front(index)
+		q.prepend(index)
 		q.work += work
-		p.count(q, 1, work)
+		p.adjustCounts(q, 1, work)
 		return
 	}
-	q := &queued{job: j, waiting: []uint16{index}, work: work, position: -1, queue: p.queueOf(s, j.Team)}
+	q := &queuedJob{job: j, waiting: []uint16{index}, work: work, position: -1, queue: p.queueOf(s, j.Team)}
 	p.jobs[j.Submission] = q
-	p.add(q)
+	p.addJob(q)
 }
 
 func (p *Placer) returnDelayed(now time.Time) {
@@ -96,7 +96,7 @@
 
 // dispatchService places tasks of one service until credits or tasks run out.
 func (p *Placer) dispatchService(now time.Time, s *service) {
-	for len(s.teams.items) > 0 && len(s.seats.items) > 0 && len(p.output.blocked) < maxBlocked {
+	for len(s.teams.items) > 0 && len(s.available.items) > 0 && len(p.output.blocked) < maxBlocked {
 		t := s.teams.items[0]
 		if !t.team.mayStart(now) {
 			s.teams.remove(t.position)
@@ -104,115 +104,115 @@
 			p.throttled = append(p.throttled, t)
 			continue
 		}
-		if s.deep == 0 && s.seats.items[0].agent.free() <= 0 {
+		if s.bulk == 0 && s.available.items[0].agent.freeCredit() <= 0 {
 			break // Only deep jobs could be placed.
 		}
 		q := t.jobs.items[0]
 		need := q.job.Requirements[q.waiting[0]]
 		need.MemoryBytes = s.learned.memoryBytes(need.MemoryBytes)
 		chosen, full := p.pick(s, q, need)
-		if chosen == nil && full && p.alike(q) {
+		if chosen == nil && full && p.sameForTeam(q) {
 			s.teams.remove(t.position) // The team's other jobs find no place either.
 			p.output.yielding = append(p.output.yielding, t)
 			continue
 		}
 		if chosen == nil {
 			p.output.blocked = append(p.output.blocked, q)
-			p.takeOut(q)
+			p.removeJob(q)
 			continue
 		}
 		p.place(q, chosen.agent, need)
 	}
 	for _, q := range p.output.blocked {
 		q.queue.jobs.push(q)
-		p.returnTurn(q.queue)
+		p.updateTurn(q.queue)
 	}
 	p.output.blocked = p.output.blocked[:0]
 	for _, t := range p.output.yielding {
-		p.returnTurn(t)
+		p.updateTurn(t)
 	}
 	p.output.yielding = p.output.yielding[:0]
 }
 
 // place assigns the first waiting task of a job to an agent.
-func (p *Placer) place(q *queued, a *agent, need Requirements) {
+func (p *Placer) place(q *queuedJob, a *agent, need Requirements) {
 	t := q.queue
 	index := q.waiting[0]
 	q.waiting = q.waiting[1:]
 	expected := t.service.learned.runTime(need.RunTime)
-	t.service.sent += expected
+	t.service.outstandingWork += expected
 	work := min(expected, q.work)
 	q.work -= work
-	q.key -= work / t.service.divisor
-	p.count(q, -1, -work)
-	t.service.virtual = max(t.service.virtual, time.Duration(t.class)*p.limits.Quantum)
+	q.key -= work / t.service.slotDivisor
+	p.adjustCounts(q, -1, -work)
+	t.service.virtualTime = max(t.service.virtualTime, time.Duration(t.round)*p.limits.Quantum)
 	p.use(t, expected)
-	t.team.take()
-	p.output.add(q, a, index, p.rank(q))
-	p.open[q.job.Submission]++
+	t.team.countStart()
+	p.output.add(q, a, index, p.startRank(q))
+	p.outstandingTasks[q.job.Submission]++
 	p.sequence++
-	a.used = p.sequence
-	a.hold(taskRef{q.job.Submission, index}, outstanding{need: need, queue: t, expected: expected, deep: q.deep})
+	a.lastChosen = p.sequence
+	a.reserve(taskRef{q.job.Submission, index}, outstanding{need: need, queue: t, expected: expected, bulk: q.bulk})
 	p.rerank(a)
 	if len(q.waiting) == 0 {
 		delete(p.jobs, q.job.Submission)
 		t.jobs.remove(q.position)
 	}
-	p.returnTurn(t)
+	p.updateTurn(t)
 }
 
 // reserve returns the credit that a job leaves at each agent to others: much if
 // its team is ahead of others, some if the job is large.
-func (p *Placer) reserve(q *queued) int {
+func (p *Placer) reserve(q *queuedJob) int {
 	s := q.queue.service
 	switch {
-	case p.indebted(q.queue):
+	case p.aheadOfOthers(q.queue):
 		return p.limits.DebtReserve
-	case q.total/s.divisor > p.limits.LargeWork:
+	case q.total/s.slotDivisor > p.limits.LargeWork:
 		return p.limits.Reserve
 	}
 	return 0
 }
 
 // indebted reports whether a team is so far ahead of others that it yields to them.
-func (p *Placer) indebted(t *teamQueue) bool {
-	return t.used-t.service.virtual > yieldingDebt*p.limits.Quantum
+func (p *Placer) aheadOfOthers(t *teamQueue) bool {
+	return t.virtualTime-t.service.virtualTime > yieldQuanta*p.limits.Quantum
 }
 
 // alike reports whether all jobs of a job's team need as much free credit as it.
-func (p *Placer) alike(q *queued) bool {
+func (p *Placer) sameForTeam(q *queuedJob) bool {
 	t := q.queue
-	if q.deep {
-		return t.deep == t.waiting
+	if q.bulk {
+		return t.bulk == t.waiting
 	}
-	return t.deep == 0 && p.indebted(t)
+	return t.bulk == 0 && p.aheadOfOthers(t)
 }
 
 // yieldingDebt is by how many quanta a team must be ahead to leave DebtReserve.
-const yieldingDebt = 1
+const yieldQuanta = 1
 
 // pick returns the best agent that can hold the task now, or nil. It is full if no
 // agent has the credit for a task of the job, however little it needs.
-func (p *Placer) pick(s *service, q *queued, need Requirements) (best *seat, full bool) {
+func (p *Placer) pick(s *service, q *queuedJob, need Requirements) (best *membership, full bool) {
 	reserve := p.reserve(q)
-	for i, seat := range s.seats.items {
-		if i >= maxTried {
+	for i, seat := range s.available.items {
+		if i >= maxCandidates {
 			break
 		}
-		if !p.takes(seat.agent, q, reserve) {
+		if !p.hasCredit(seat.agent, q, reserve) {
 			if p.output.sendsNothing() && seat.agent.health.state != stateProbing {
 				// The others have less free credit, and no message goes to them.
 				return best, best == nil
 			}
 			continue
 		}
-		if !seat.agent.holds(need) {
+		if !seat.agent.fits(need) {
 			continue
 		}
 		if i == 0 {
 			return seat, false
 		}
-		if best == nil || seatBefore(seat, best) {
+		if best == nil || membershipBefore(seat, best) {
 			best = seat
 		}
 	}
@@ -220,11 +220,11 @@
 }
 
 // takes reports whether the credits of an agent let it take a task of a job now.
-func (p *Placer) takes(a *agent, q *queued, reserve int) bool {
-	if q.deep {
-		return p.takesDeep(q.queue.service, a)
+func (p *Placer) hasCredit(a *agent, q *queuedJob, reserve int) bool {
+	if q.bulk {
+		return p.hasBulkCredit(q.queue.service, a)
 	}
-	return a.free() > 0 && (reserve == 0 || p.leavesReserve(a, reserve))
+	return a.freeCredit() > 0 && (reserve == 0 || p.leavesReserve(a, reserve))
 }
 
 // leavesReserve reports whether an agent can take a task and have credit left for
@@ -232,13 +232,13 @@
 // that what waits long goes in few batches. An agent that has set no credit has
 // no room for starts to wait, so nothing is reserved there.
 func (p *Placer) leavesReserve(a *agent, reserve int) bool {
-	if !a.credited {
+	if !a.creditSet {
 		return true
 	}
 	if a.dispatch != p.output.dispatch {
 		reserve += p.limits.Batch
 	}
-	return a.free() > min(reserve, a.credit-1)
+	return a.freeCredit() > min(reserve, a.credit-1)
 }
 
 // sendsNothing reports whether the running dispatch has placed no task yet.
@@ -253,7 +253,7 @@
 }
 
 // add adds a task to the agent's batch of the job, or begins one.
-func (o *output) add(q *queued, a *agent, index uint16, work time.Duration) {
+func (o *output) add(q *queuedJob, a *agent, index uint16, work time.Duration) {
 	i := -1
 	if a.dispatch == o.dispatch {
 		i = a.batch
--- a/internal/placer/estimate.go
+++ b/internal/placer/estimate.go
@@ -10,15 +10,15 @@
 // the usual error of declarations, or the usual run time, whichever has been
 // nearer to the truth.
 type estimate struct {
-	minSamples int
-	samples    int
-	usual      float64 // usual is the mean run time in seconds.
-	ratio      float64 // ratio is the mean of true by declared run time, on a log scale.
-	usualError float64 // usualError is the mean error of usual, on a log scale.
-	ratioError float64 // ratioError is the mean error of declared times ratio, on a log scale.
-	memory     float64 // memory is the usual peak in bytes; 0 if none was reported.
-	memoryDev  float64 // memoryDev is the mean deviation from memory.
-	peaks      int     // peaks counts the reports of memory.
+	minSamples      int
+	samples         int
+	mean            float64 // usual is the mean run time in seconds.
+	ratio           float64 // ratio is the mean of true by declared run time, on a log scale.
+	meanError       float64 // usualError is the mean error of usual, on a log scale.
+	ratioError      float64 // ratioError is the mean error of declared times ratio, on a log scale.
+	meanMemory      float64 // memory is the usual peak in bytes; 0 if none was reported.
+	memoryDeviation float64 // memoryDev is the mean deviation from memory.
+	peaks           int     // peaks counts the reports of memory.
 }
 
 const (
@@ -35,18 +35,18 @@
 		}
 		return declared
 	}
-	if declared <= 0 || e.usualError < e.ratioError {
-		return seconds(e.usual)
+	if declared <= 0 || e.meanError < e.ratioError {
+		return seconds(e.mean)
 	}
 	return seconds(declared.Seconds() * math.Exp(e.ratio))
 }
 
 // usualRunTime returns the mean run time of the service's tasks.
-func (e *estimate) usualRunTime() time.Duration {
+func (e *estimate) meanRunTime() time.Duration {
 	if e.samples < e.minSamples {
 		return 0
 	}
-	return seconds(e.usual)
+	return seconds(e.mean)
 }
 
 // memoryBytes returns the memory to set aside for a task with a declared need.
@@ -54,16 +54,16 @@
 	if e.peaks < e.minSamples {
 		return declared
 	}
-	return int64(e.memory + memoryMargin*e.memoryDev)
+	return int64(e.meanMemory + memoryMargin*e.memoryDeviation)
 }
 
 // usualMemory returns the memory that a task usually takes at its peak, without the
 // margin that is set aside.
-func (e *estimate) usualMemory(declared int64) int64 {
+func (e *estimate) meanPeakMemory(declared int64) int64 {
 	if e.peaks < e.minSamples {
 		return declared
 	}
-	return int64(e.memory)
+	return int64(e.meanMemory)
 }
 
 // learn applies the true values of a task.
@@ -74,10 +74,10 @@
 	if peak > 0 {
 		e.peaks++
 		rate := max(learnRate, 1/float64(e.peaks))
-		e.memoryDev += rate * (math.Abs(float64(peak)-e.memory) - e.memoryDev)
-		e.memory += rate * (float64(peak) - e.memory)
+		e.memoryDeviation += rate * (math.Abs(float64(peak)-e.meanMemory) - e.memoryDeviation)
+		e.meanMemory += rate * (float64(peak) - e.meanMemory)
 		if e.peaks == 1 {
-			e.memoryDev = 0
+			e.memoryDeviation = 0
 		}
 	}
 }
@@ -86,10 +86,10 @@
 	e.samples++
 	rate := max(learnRate, 1/float64(e.samples))
 	truth := math.Log(actual.Seconds())
-	if e.usual > 0 {
-		e.usualError += rate * (math.Abs(truth-math.Log(e.usual)) - e.usualError)
+	if e.mean > 0 {
+		e.meanError += rate * (math.Abs(truth-math.Log(e.mean)) - e.meanError)
 	}
-	e.usual += rate * (actual.Seconds() - e.usual)
+	e.mean += rate * (actual.Seconds() - e.mean)
 	if declared <= 0 {
 		return
 	}
--- a/internal/placer/health.go
+++ b/internal/placer/health.go
@@ -29,31 +29,31 @@
 
 // health is what the results of one agent say about it.
 type health struct {
-	state     HealthState
-	allowed   int // allowed bounds the outstanding tasks beside the credit.
-	reason    EjectReason
-	probeAt   time.Time // probeAt is when the next probe is due; zero if none is.
-	pause     time.Duration
-	successes int     // successes counts those since allowed was raised.
-	streak    int     // streak counts failures in a row.
-	samples   int     // samples counts results.
-	failures  float64 // failures is the recent share of failures.
-	slowness  float64 // slowness is the recent mean of run time by expected run time, on a log scale.
-	timed     int     // timed counts the samples of slowness.
+	state           HealthState
+	maxOutstanding  int // allowed bounds the outstanding tasks beside the credit.
+	reason          EjectReason
+	probeAt         time.Time // probeAt is when the next probe is due; zero if none is.
+	probeBackoff    time.Duration
+	successes       int     // successes counts those since allowed was raised.
+	streak          int     // streak counts failures in a row.
+	samples         int     // samples counts results.
+	failures        float64 // failures is the recent share of failures.
+	slowness        float64 // slowness is the recent mean of run time by expected run time, on a log scale.
+	slownessSamples int     // timed counts the samples of slowness.
 }
 
 const (
-	failureRate   = 1.0 / 16
-	slownessRate  = 0.25
-	minRatio      = 10 // minRatio is the number of results from which FailureRatio counts.
-	minTimed      = 3
-	unlimited     = 1 << 30
-	minPeers      = 2 // minPeers is the number of agents without which none is ejected.
-	badServiceMin = 2
+	failureRate        = 1.0 / 16
+	slownessRate       = 0.25
+	minRatioSamples    = 10 // minRatio is the number of results from which FailureRatio counts.
+	minSlownessSamples = 3
+	unlimited          = 1 << 30
+	minServing         = 2 // minPeers is the number of agents without which none is ejected.
+	minFailingAgents   = 2
 )
 
 // observe applies the end of a task to the health of its agent.
-func (p *Placer) observe(now time.Time, s *seat, e *End, expected time.Duration) {
+func (p *Placer) observe(now time.Time, s *membership, e *End, expected time.Duration) {
 	failed := e.Kind == messenger.ResultFailed
 	s.samples++
 	if failed {
@@ -70,21 +70,21 @@
 	if failed {
 		h.streak++
 		h.failures += rate * (1 - h.failures)
-		p.failedAt(now, s.agent)
+		p.applyFailure(now, s.agent)
 		return
 	}
 	h.streak = 0
 	h.failures -= rate * h.failures
 	if expected > 0 && e.RunTime > 0 {
-		h.timed++
-		h.slowness += max(slownessRate, 1/float64(h.timed)) * (math.Log(e.RunTime.Seconds()/expected.Seconds()) - h.slowness)
+		h.slownessSamples++
+		h.slowness += max(slownessRate, 1/float64(h.slownessSamples)) * (math.Log(e.RunTime.Seconds()/expected.Seconds()) - h.slowness)
 	}
-	slow := h.timed >= minTimed || h.state == stateProbing && h.reason == EjectSlow
+	slow := h.slownessSamples >= minSlownessSamples || h.state == stateProbing && h.reason == EjectSlow
 	if slow && h.slowness >= math.Log(p.limits.SlowFactor) {
 		p.eject(now, s.agent, EjectSlow)
 		return
 	}
-	p.succeededAt(s.agent)
+	p.applySuccess(s.agent)
 }
 
 // failsEverywhere reports whether the service and not an upstream is at fault.
@@ -99,27 +99,27 @@
 			failing++
 		}
 	}
-	return failing >= badServiceMin && 2*failing > sampled
+	return failing >= minFailingAgents && 2*failing > sampled
 }
 
-func (p *Placer) failedAt(now time.Time, a *agent) {
+func (p *Placer) applyFailure(now time.Time, a *agent) {
 	h := &a.health
 	switch h.state {
 	case stateProbing:
 		p.eject(now, a, EjectFailing)
 	case stateNormal, stateReturning:
 		if h.streak >= p.limits.FailureStreak ||
-			h.samples >= minRatio && h.failures >= p.limits.FailureRatio {
+			h.samples >= minRatioSamples && h.failures >= p.limits.FailureRatio {
 			p.eject(now, a, EjectFailing)
 		}
 	}
 }
 
-func (p *Placer) succeededAt(a *agent) {
+func (p *Placer) applySuccess(a *agent) {
 	h := &a.health
 	if h.state == stateProbing {
 		h.state = stateReturning
-		h.allowed = 1
+		h.maxOutstanding = 1
 		h.successes = 0
 		h.failures = 0
 		h.reason = ""
@@ -129,15 +129,15 @@
 		return
 	}
 	h.successes++
-	if h.successes < h.allowed {
+	if h.successes < h.maxOutstanding {
 		return
 	}
 	h.successes = 0
-	h.allowed *= 2
-	if h.allowed >= a.capacity.Slots {
-		h.allowed = unlimited
+	h.maxOutstanding *= 2
+	if h.maxOutstanding >= a.capacity.Slots {
+		h.maxOutstanding = unlimited
 		h.state = stateNormal
-		h.pause = 0
+		h.probeBackoff = 0
 	}
 }
 
@@ -152,18 +152,18 @@
 		p.ejected++
 	}
 	h.state = stateEjected
-	h.allowed = 0
+	h.maxOutstanding = 0
 	h.reason = reason
 	h.streak = 0
-	h.timed = 0
+	h.slownessSamples = 0
 	h.slowness = 0
-	h.pause = min(max(2*h.pause, p.limits.ProbeAfter), p.limits.MaxProbeAfter)
-	h.probeAt = now.Add(h.pause)
+	h.probeBackoff = min(max(2*h.probeBackoff, p.limits.ProbeAfter), p.limits.MaxProbeAfter)
+	h.probeAt = now.Add(h.probeBackoff)
 }
 
 func (p *Placer) mayEject() bool {
 	serving := p.Serving()
-	if serving < minPeers {
+	if serving < minServing {
 		return false
 	}
 	return p.ejected+1 <= max(1, int(p.limits.MaxEjectedRatio*float64(serving)))
@@ -178,7 +178,7 @@
 		h := &a.health
 		if h.state == stateEjected && !h.probeAt.IsZero() && !now.Before(h.probeAt) {
 			h.state = stateProbing
-			h.allowed = len(a.sent) + 1
+			h.maxOutstanding = len(a.sent) + 1
 			p.rerank(a)
 		}
 	}
@@ -193,7 +193,7 @@
 	}
 	if a.health.state == stateEjected || a.health.state == stateProbing {
 		p.ejected--
-		a.health = health{state: stateReturning, allowed: p.limits.SlowStart}
+		a.health = health{state: stateReturning, maxOutstanding: p.limits.SlowStart}
 	}
 	p.rerank(a)
 	return true
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -85,35 +85,35 @@
 	teams        map[string]*team
 	entries      int // entries is the number of entries that divide the quotas.
 	quotas       []Quota
-	jobs         map[identifier.Submission]*queued
+	jobs         map[identifier.Submission]*queuedJob
 	// open counts the outstanding tasks of each job. A job that was dropped has a
 	// negative count: how its tasks end says nothing about their agents.
-	open        map[identifier.Submission]int
-	holds       map[messenger.Peer]Hold
-	ejections   uint64 // ejections counts those by results, ever.
-	waiting     int    // waiting is the number of tasks that wait.
-	ejected     int    // ejected is the number of agents that are ejected or probed.
-	established bool
-	retries     *budgeter.Budgeter
-	delayed     []delayedTask // delayed has the tasks that are placed again later.
-	throttled   []*teamQueue  // throttled has the teams whose quota is used up.
-	started     time.Time     // started is the time of the first event.
-	sequence    uint64
-	output      output
+	outstandingTasks map[identifier.Submission]int
+	holds            map[messenger.Peer]Hold
+	ejections        uint64 // ejections counts those by results, ever.
+	waiting          int    // waiting is the number of tasks that wait.
+	ejected          int    // ejected is the number of agents that are ejected or probed.
+	hasResults       bool
+	retries          *budgeter.Budgeter
+	delayed          []delayedTask // delayed has the tasks that are placed again later.
+	throttled        []*teamQueue  // throttled has the teams whose quota is used up.
+	started          time.Time     // started is the time of the first event.
+	sequence         uint64
+	output           output
 }
 
 // New returns a placer without agents.
 func New(limits Limits) *Placer {
 	limits = limits.withDefaults()
 	return &Placer{
-		limits:   limits,
-		agents:   make(map[messenger.Peer]*agent),
-		services: make(map[string]*service),
-		teams:    make(map[string]*team),
-		entries:  1,
-		jobs:     make(map[identifier.Submission]*queued),
-		open:     make(map[identifier.Submission]int),
-		retries:  budgeter.New(limits.RescheduleBudget, 1),
+		limits:           limits,
+		agents:           make(map[messenger.Peer]*agent),
+		services:         make(map[string]*service),
+		teams:            make(map[string]*team),
+		entries:          1,
+		jobs:             make(map[identifier.Submission]*queuedJob),
+		outstandingTasks: make(map[identifier.Submission]int),
+		retries:          budgeter.New(limits.RescheduleBudget, 1),
 	}
 }
 
@@ -135,10 +135,10 @@
 // agent that comes later than the first task result starts with few tasks.
 func (p *Placer) AgentUp(_ time.Time, peer messenger.Peer, place Location) {
 	p.AgentDown(time.Time{}, peer)
-	a := &agent{peer: peer, place: place, held: p.holds[peer], sent: make(map[taskRef]outstanding)}
-	a.health = health{state: stateNormal, allowed: unlimited}
-	if p.established {
-		a.health = health{state: stateReturning, allowed: p.limits.SlowStart}
+	a := &agent{peer: peer, place: place, hold: p.holds[peer], sent: make(map[taskRef]outstanding)}
+	a.health = health{state: stateNormal, maxOutstanding: unlimited}
+	if p.hasResults {
+		a.health = health{state: stateReturning, maxOutstanding: p.limits.SlowStart}
 	}
 	p.agents[peer] = a
 	p.order = append(p.order, a)
@@ -154,13 +154,13 @@
 		p.ejected--
 	}
 	for ref, o := range a.sent {
-		o.queue.service.sent -= o.expected
-		freeQuota(o.queue)
+		o.queue.service.outstandingWork -= o.expected
+		countEnd(o.queue)
 		p.closeTask(ref.submission)
 	}
 	a.capacity.Services = nil
 	a.capacity.State = messenger.UpstreamAbsent
-	p.reseat(a)
+	p.updateMemberships(a)
 	delete(p.agents, peer)
 	p.order = slices.DeleteFunc(p.order, func(o *agent) bool { return o == a })
 }
@@ -176,12 +176,12 @@
 	a.freeAccelerators += c.Accelerators - a.capacity.Accelerators
 	same := slices.Equal(a.capacity.Services, c.Services)
 	a.capacity = c
-	if !a.credited {
+	if !a.creditSet {
 		a.limit = c.Slots
 		a.credit = c.Slots
 	}
 	if !same {
-		p.reseat(a)
+		p.updateMemberships(a)
 	}
 	p.rerank(a)
 }
@@ -194,7 +194,7 @@
 	}
 	a.limit = limit
 	a.credit = limit
-	a.credited = true
+	a.creditSet = true
 	p.rerank(a)
 }
 
@@ -209,7 +209,7 @@
 
 // Enqueue takes the tasks of a job into the queue or says why not.
 func (p *Placer) Enqueue(now time.Time, j Job) Refusal {
-	p.touch(now)
+	p.recordStart(now)
 	s := p.service(j.Service)
 	if refusal := p.admit(now, s, &j); refusal.Reason != "" {
 		return refusal
@@ -218,7 +218,7 @@
 		return Refusal{}
 	}
 	p.sequence++
-	q := &queued{
+	q := &queuedJob{
 		job:      j,
 		waiting:  s.longestFirst(&j),
 		work:     s.workOf(&j, j.Tasks),
@@ -229,28 +229,28 @@
 	}
 	q.total = q.work
 	p.jobs[j.Submission] = q
-	p.add(q)
+	p.addJob(q)
 	return Refusal{}
 }
 
 // Drop removes the waiting tasks of a job.
 func (p *Placer) Drop(s identifier.Submission) {
 	p.delayed = slices.DeleteFunc(p.delayed, func(d delayedTask) bool { return d.job.Submission == s })
-	if n := p.open[s]; n > 0 {
-		p.open[s] = -n
+	if n := p.outstandingTasks[s]; n > 0 {
+		p.outstandingTasks[s] = -n
 	}
 	q := p.jobs[s]
 	if q == nil {
 		return
 	}
 	delete(p.jobs, s)
-	p.count(q, -len(q.waiting), -q.work)
-	p.takeOut(q)
+	p.adjustCounts(q, -len(q.waiting), -q.work)
+	p.removeJob(q)
 }
 
 // Ended applies the end of a task and frees its place.
 func (p *Placer) Ended(now time.Time, e End) {
-	p.touch(now)
+	p.recordStart(now)
 	a := p.agents[e.Agent]
 	if a == nil {
 		return
@@ -259,7 +259,7 @@
 	if !ok {
 		return
 	}
-	freeQuota(o.queue)
+	countEnd(o.queue)
 	o.queue.service.ended(now, o.expected, e.RunTime)
 	dropped := p.closeTask(e.Submission)
 	switch {
@@ -270,7 +270,7 @@
 		p.charge(o.queue, e.RunTime-o.queue.service.learned.runTime(o.need.RunTime))
 	default:
 		a.recovered()
-		p.learn(now, a, o, &e)
+		p.recordResult(now, a, o, &e)
 	}
 	p.rerank(a)
 }
@@ -286,18 +286,18 @@
 		if ref.submission != s || slices.Contains(started, ref.index) {
 			continue
 		}
-		p.vacate(now, a, ref, o)
+		p.releaseTask(now, a, ref, o)
 	}
 	p.rerank(a)
 }
 
 // Disown frees the places of tasks whose results will go to another entry.
 func (p *Placer) ReleaseTransferred(now time.Time, gone func(identifier.Submission) bool) {
-	p.touch(now)
+	p.recordStart(now)
 	for _, a := range p.order {
 		for ref, o := range a.sent {
 			if gone(ref.submission) {
-				p.vacate(now, a, ref, o)
+				p.releaseTask(now, a, ref, o)
 			}
 		}
 		p.rerank(a)
@@ -305,46 +305,46 @@
 }
 
 // vacate frees the place of a task without a result.
-func (p *Placer) vacate(now time.Time, a *agent, ref taskRef, o outstanding) {
+func (p *Placer) releaseTask(now time.Time, a *agent, ref taskRef, o outstanding) {
 	a.release(ref)
-	freeQuota(o.queue)
+	countEnd(o.queue)
 	o.queue.service.ended(now, o.expected, 0)
 	p.closeTask(ref.submission)
 }
 
 // closeTask counts the end of a task and reports whether its job was dropped.
 func (p *Placer) closeTask(s identifier.Submission) bool {
-	n := p.open[s]
+	n := p.outstandingTasks[s]
 	switch n {
 	case -1, 0, 1:
-		delete(p.open, s)
+		delete(p.outstandingTasks, s)
 	default:
-		p.open[s] = n - n/max(n, -n)
+		p.outstandingTasks[s] = n - n/max(n, -n)
 	}
 	return n < 0
 }
 
 // learn applies what the result of a task that ran says about its service, its
 // agent and its team's use of slots.
-func (p *Placer) learn(now time.Time, a *agent, o outstanding, e *End) {
-	p.established = true
+func (p *Placer) recordResult(now time.Time, a *agent, o outstanding, e *End) {
+	p.hasResults = true
 	s := o.queue.service
 	expected := s.learned.runTime(o.need.RunTime)
 	p.charge(o.queue, e.RunTime-expected)
-	usual := s.learned.usualRunTime()
+	usual := s.learned.meanRunTime()
 	if usual > 0 {
 		usual = max(usual, expected)
 	}
 	if e.Kind == messenger.ResultDone && a.health.state != stateProbing && a.health.slowness < math.Log(p.limits.SlowFactor) {
 		s.learned.learn(o.need.RunTime, e.RunTime, e.PeakMemoryBytes)
 	}
-	if seat := findSeat(a.seats, s.name); seat != nil {
+	if seat := findMembership(a.memberships, s.name); seat != nil {
 		p.observe(now, seat, e, usual)
 	}
 }
 
 // touch records the time of the first event, from which ages count.
-func (p *Placer) touch(now time.Time) {
+func (p *Placer) recordStart(now time.Time) {
 	if p.started.IsZero() {
 		p.started = now
 	}
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -173,9 +173,9 @@
 		p, running := filled(agents)
 		enqueue(p, 2_000_000, 580)
 		n := 0
-		seats := &p.serviceOrder[0].seats
+		seats := &p.serviceOrder[0].available
 		before := seats.before
-		seats.before = func(a, b *seat) bool { n++; return before(a, b) }
+		seats.before = func(a, b *membership) bool { n++; return before(a, b) }
 		for i := range 200 {
 			p.Ended(epoch, running[i])
 		}
--- a/internal/placer/refusal.go
+++ b/internal/placer/refusal.go
@@ -51,7 +51,7 @@
 		return Refusal{}
 	}
 	slots := s.share(p.entries)
-	wait := (s.workAhead(team) + s.sent + work) / time.Duration(slots)
+	wait := (s.workAhead(team) + s.outstandingWork + work) / time.Duration(slots)
 	if wait > budget {
 		return Refusal{
 			Reason:     submitter.ReasonOverloaded,
@@ -139,7 +139,7 @@
 // corrected returns a need with the memory that the service's tasks usually take.
 // The margin of what is learned is left out: it must not refuse what has run.
 func (s *service) corrected(n Requirements) Requirements {
-	n.MemoryBytes = s.learned.usualMemory(n.MemoryBytes)
+	n.MemoryBytes = s.learned.meanPeakMemory(n.MemoryBytes)
 	return n
 }
 
--- a/internal/placer/status.go
+++ b/internal/placer/status.go
@@ -45,9 +45,9 @@
 			Peer:         a.peer,
 			Location:     a.place,
 			Capacity:     a.capacity,
-			Credit:       min(a.credit, a.health.allowed),
+			Credit:       min(a.credit, a.health.maxOutstanding),
 			Outstanding:  len(a.sent),
-			Hold:         a.held,
+			Hold:         a.hold,
 			Health:       a.health.state,
 			EjectReason:  a.health.ejected(),
 			FailureRatio: a.health.failures,
@@ -61,7 +61,7 @@
 func (p *Placer) SetHolds(holds map[messenger.Peer]Hold) {
 	p.holds = holds
 	for _, a := range p.order {
-		a.held = holds[a.peer]
+		a.hold = holds[a.peer]
 		p.rerank(a)
 	}
 }
--- a/internal/placer/team.go
+++ b/internal/placer/team.go
@@ -19,10 +19,10 @@
 	// slots is this entry's share of the quota; 0 means no bound.
 	slots int
 	// rate is this entry's share of the starts a second; 0 means no bound.
-	rate   float64
-	tokens float64   // tokens is the number of starts that are allowed now.
-	filled time.Time // filled is when tokens was last computed.
-	queues []*teamQueue
+	rate       float64
+	tokens     float64   // tokens is the number of starts that are allowed now.
+	refilledAt time.Time // filled is when tokens was last computed.
+	queues     []*teamQueue
 }
 
 // SetTeams sets the quotas of teams. A team that is not listed has none.
@@ -72,10 +72,10 @@
 	if t.rate <= 0 {
 		return true
 	}
-	if !t.filled.IsZero() {
-		t.tokens = min(t.burst(), t.tokens+t.rate*now.Sub(t.filled).Seconds())
+	if !t.refilledAt.IsZero() {
+		t.tokens = min(t.burst(), t.tokens+t.rate*now.Sub(t.refilledAt).Seconds())
 	}
-	t.filled = now
+	t.refilledAt = now
 	return t.tokens >= 1
 }
 
@@ -83,7 +83,7 @@
 func (t *team) burst() float64 { return max(1, t.rate/4) }
 
 // take counts one start.
-func (t *team) take() {
+func (t *team) countStart() {
 	t.running++
 	if t.rate > 0 {
 		t.tokens--
@@ -91,7 +91,7 @@
 }
 
 // freeQuota counts the end of a task of a team.
-func freeQuota(q *teamQueue) { q.team.running-- }
+func countEnd(q *teamQueue) { q.team.running-- }
 
 // returnThrottled puts the teams whose quota allows a start again back into the
 // order of their services.
@@ -103,7 +103,7 @@
 			continue
 		}
 		t.throttled = false
-		p.returnTurn(t)
+		p.updateTurn(t)
 	}
 	p.throttled = kept
 }
