--- a/internal/placer/agent.go
+++ b/internal/placer/agent.go
@@ -7,40 +7,41 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// agent is what the placer knows of one agent and its upstream.
+// agent is the placer's view of one agent and its upstream.
 type agent struct {
 	peer      messenger.Peer
 	place     Location
 	capacity  messenger.Capacity
-	credit    int  // credit is how many tasks may be outstanding: limit, or less after refusals.
-	limit     int  // limit is the number of slots or, once there is one, the agent's limit.
-	creditSet bool // credited means that the agent itself has set the limit.
-	hold      Hold // held is what an operator has set; empty lets the agent work.
-	// sent has the tasks that are outstanding at the agent.
+	credit    int  // maximum of outstanding tasks: limit, or less after refusals
+	limit     int  // the number of slots until the agent sets a limit
+	creditSet bool // whether the agent has set the limit itself
+	hold      Hold // set by an operator; empty if there is none
+	// sent holds the outstanding tasks.
 	sent map[taskRef]outstanding
-	// deep counts the tasks in sent that are of deep jobs.
+	// bulk counts the tasks in sent that belong to bulk jobs.
 	bulk int
-	// freeMemory and freeAccelerators are what the outstanding tasks leave.
+	// freeMemory and freeAccelerators are the capacity that outstanding tasks have not
+	// reserved.
 	freeMemory       int64
 	freeAccelerators int
-	memberships      []*membership // seats has one entry a service that the agent serves.
-	lastChosen       uint64        // used is the number of the latest decision for the agent.
+	memberships      []*membership // one for each service that the agent serves
+	lastChosen       uint64        // sequence number of the latest task scheduled on the agent
 	health           health
 
-	// batch is the latest assignment of the running dispatch for the agent; it
-	// counts only if dispatch is the number of the running dispatch.
+	// batch is the index of the agent's latest assignment in the current dispatch. It is
+	// valid only if dispatch is the number of the current dispatch.
 	batch    int
 	dispatch uint64
 }
 
-// seat is an agent among the agents of one service.
+// membership is an agent's place among the agents of one service.
 type membership struct {
 	agent    *agent
 	service  *service
-	position int // position is that in service.seats, -1 while the agent takes no task.
-	failing  int // failing counts the service's failures in a row at the agent.
-	samples  int // samples counts the service's results at the agent.
-	credit   int // credit is what the agent adds to service.credits.
+	position int // index in service.available, -1 while the agent accepts no task
+	failing  int // consecutive failures of the service at the agent
+	samples  int // number of results of the service at the agent
+	credit   int // the agent's contribution to service.credits
 }
 
 type taskRef struct {
@@ -48,17 +49,18 @@
 	index      uint16
 }
 
-// outstanding is a task at an agent.
+// outstanding is a task that was sent to an agent and has not ended.
 type outstanding struct {
-	need  Requirements // need is what is set aside for the task.
+	need  Requirements // reserved for the task
 	queue *teamQueue
-	// expected is the expected run time when the task was sent.
+	// expected is the run time that was expected when the task was sent.
 	expected time.Duration
-	bulk     bool // deep means that the task is one of a deep job.
+	bulk     bool // whether the task belongs to a bulk job
 }
 
-// free returns how many more tasks the agent may get that are not deep. Deep ones
-// do not count against a credit that the agent has set, since they yield to others.
+// freeCredit returns how many more tasks the agent may get that are not of bulk jobs.
+// Tasks of bulk jobs do not count against a credit that the agent has set, since the
+// agent starts the tasks of smaller jobs first.
 func (a *agent) freeCredit() int {
 	credit := a.credit
 	if a.creditSet {
@@ -67,9 +69,9 @@
 	return min(credit, a.health.maxOutstanding) - len(a.sent)
 }
 
-// holds reports whether an agent has what a task needs now. An upstream whose memory
-// is all free takes a task that may need more, as the guard does; no job is admitted
-// whose tasks are known to need more than any upstream has.
+// fits reports whether an agent has the free memory and accelerators for a task. Like
+// the guard, it accepts any memory requirement if all memory is free: admission refuses
+// jobs whose tasks are known to need more memory than any upstream has.
 func (a *agent) fits(need Requirements) bool {
 	fits := need.MemoryBytes <= a.freeMemory || a.freeMemory > 0 && a.freeMemory == a.capacity.MemoryBytes
 	return fits && need.Accelerators <= a.freeAccelerators
@@ -77,8 +79,9 @@
 
 func (a *agent) serving() bool { return a.capacity.State == messenger.UpstreamServing }
 
-// seatBefore orders the agents of a service: probes first, then those with the
-// most free credit, then the one that was chosen longest ago.
+// membershipBefore orders the agents of a service: those being probed first, then by
+// free credit, then by fewest outstanding tasks of bulk jobs, then the least recently
+// chosen.
 func membershipBefore(a, b *membership) bool {
 	x, y := a.agent, b.agent
 	xProbe, yProbe := x.health.state == stateProbing, y.health.state == stateProbing
@@ -94,7 +97,7 @@
 	return x.lastChosen < y.lastChosen
 }
 
-// rerank moves an agent to where its free credit puts it in each service.
+// rerank updates the position of an agent in the heap of each of its services.
 func (p *Placer) rerank(a *agent) {
 	works := a.serving() && a.hold == ""
 	for _, s := range a.memberships {
@@ -111,7 +114,7 @@
 	}
 }
 
-// count keeps the service's sum of credits.
+// updateCredits updates the service's sum of credits.
 func (s *membership) updateCredits() {
 	credit := 0
 	if s.agent.serving() && s.agent.health.maxOutstanding > 0 {
@@ -121,7 +124,7 @@
 	s.credit = credit
 }
 
-// reseat gives the agent a seat in each service that it serves.
+// updateMemberships makes the agent a member of exactly the services that it serves.
 func (p *Placer) updateMemberships(a *agent) {
 	for _, s := range a.memberships {
 		if s.position >= 0 {
@@ -162,7 +165,7 @@
 	return seats
 }
 
-// release takes a task off its agent and returns what was set aside for it.
+// release removes an outstanding task and frees the resources reserved for it.
 func (a *agent) release(ref taskRef) (outstanding, bool) {
 	o, ok := a.sent[ref]
 	if !ok {
@@ -177,7 +180,7 @@
 	return o, true
 }
 
-// hold sets aside what a task needs.
+// reserve adds an outstanding task and reserves its resources.
 func (a *agent) reserve(ref taskRef, o outstanding) {
 	a.sent[ref] = o
 	if o.bulk {
@@ -187,7 +190,8 @@
 	a.freeAccelerators -= o.need.Accelerators
 }
 
-// refused applies the reason of a refusal before the agent's next message does.
+// refused updates the agent's state or credit from a refusal, without waiting for the
+// agent's next report.
 func (a *agent) refused(r messenger.Refusal) {
 	switch r {
 	case messenger.RefusalLeaving:
@@ -199,6 +203,6 @@
 	}
 }
 
-// recovered takes back some of what refusals took off the credit. The agent does
-// not repeat a limit that has not changed.
+// recovered restores one unit of the credit that refusals have reduced. It is needed
+// because the agent does not send a limit again that has not changed.
 func (a *agent) recovered() { a.credit = min(a.limit, a.credit+1) }
--- a/internal/placer/configure.go
+++ b/internal/placer/configure.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// SetLimits puts new limits in force and orders what waits by them. They are
-// taken as they are, also where they are zero. The tuning and the budget of tasks
-// that are placed again stay as they were made: no configuration has them.
+// SetLimits applies new limits and reorders the queued jobs. Zero fields are applied
+// as zero, not replaced by defaults. Tuning and RescheduleBudget keep their values,
+// since a configuration does not contain them.
 func (p *Placer) SetLimits(l Limits) {
 	l.RescheduleBudget = p.limits.RescheduleBudget
 	l.Tuning = p.limits.Tuning
@@ -20,7 +20,7 @@
 	}
 }
 
-// reorder computes the order of a team's jobs and the team's turn anew.
+// reorder recomputes the order of a team's jobs and the team's position in its service.
 func (p *Placer) reorder(t *teamQueue) {
 	if t.position >= 0 {
 		t.service.teams.remove(t.position)
--- a/internal/placer/configure_test.go
+++ b/internal/placer/configure_test.go
@@ -9,12 +9,12 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// TestSetLimitsOrdersAnew lets a long job that waited and a short one that came
-// later compete for one slot under either ageing.
-func TestSetLimitsOrdersAnew(t *testing.T) {
+// TestSetLimitsReorders checks that a change of Ageing reorders jobs that already wait:
+// an older long job and a newer short job compete for one slot.
+func TestSetLimitsReorders(t *testing.T) {
 	cases := []struct {
 		before, after float64
-		want          int // want is the submission that goes first.
+		want          int // the submission that is scheduled first
 	}{
 		{before: 0.001, after: 1, want: 1},
 		{before: 1, after: 0.001, want: 2},
@@ -36,7 +36,7 @@
 				j.Requirements = append(j.Requirements, Requirements{RunTime: 300 * time.Millisecond})
 				j.Tasks = append(j.Tasks, uint16(k))
 			}
-			// The long job came first.
+			// The long job arrives first.
 			if r := p.Enqueue(epoch.Add(time.Duration(n)*10*time.Second), j); r.Reason != "" {
 				t.Fatal(r.Detail)
 			}
@@ -50,13 +50,13 @@
 			t.Errorf("ageing %v to %v: got %v, want submission %d", c.before, c.after, first, c.want)
 		}
 		if diff := cmp.Diff(10, p.Queued()); diff != "" {
-			t.Errorf("tasks that wait (-want +got):\n%s", diff)
+			t.Errorf("queued tasks (-want +got):\n%s", diff)
 		}
 	}
 }
 
-// TestSetLimitsKeepsTuning holds that a configuration, which has no tuning, does
-// not put it out of force.
+// TestSetLimitsKeepsTuning checks that SetLimits with the limits of a configuration,
+// which contains no tuning, keeps the tuning.
 func TestSetLimitsKeepsTuning(t *testing.T) {
 	p := New(DefaultLimits())
 	p.SetLimits(Limits{MaxQueued: 10})
--- a/internal/placer/deep.go
+++ b/internal/placer/deep.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// A job that comes with at least as many tasks as the entry has credits is deep,
-// unless its tasks take long. Some of its tasks may wait at an agent beyond the
-// credit, so that starts and results go in larger batches. Other jobs do not lose
-// by it: deep tasks do not count against the credit that others have, and an agent
-// starts the tasks of smaller jobs first. The depth shrinks with the deep tasks
-// that are left, so that the last ones bind late.
+// A job that arrives with at least as many tasks as the entry has credits is a bulk
+// job, unless its tasks run long. Some of its tasks may wait at an agent beyond the
+// credit, so that starts and results travel in larger batches. This does not delay
+// other jobs: tasks of bulk jobs do not count against the credit for other tasks, and
+// an agent starts the tasks of smaller jobs first. The number of tasks beyond the credit
+// shrinks with the remaining tasks of bulk jobs, so that the last ones bind late.
 
-// deepen marks a new job as deep if it is.
+// classify determines whether a new job is a bulk job.
 func (p *Placer) classify(q *queuedJob) {
 	tasks, credits := len(q.waiting), q.queue.service.credits
 	short := q.work <= time.Duration(tasks)*p.limits.MaxBulkRunTime
 	q.bulk = short && credits > 0 && tasks >= credits
 }
 
-// extra returns how many deep tasks an agent may get beyond its credit: deepShare
-// times its share of the deep tasks that wait, but not more than mostExtra.
+// bulkAllowance returns how many tasks of bulk jobs an agent may get beyond its credit:
+// bulkShare times its share of the queued tasks of bulk jobs, at most maxBulkWaiting.
 func (p *Placer) bulkAllowance(s *service, a *agent) int {
 	if !a.mayQueue() {
 		return 0
@@ -25,18 +25,22 @@
 	return min(bulkShare*s.bulk*a.capacity.Slots/max(1, s.credits), p.maxBulkWaiting(s, a))
 }
 
-// deepShare was measured: with 1 a caller with one job at a time had 0.231 messages
-// a task of a job of 580, with 2 to 4 0.211; the scenarios show no difference.
+// bulkShare is the factor by which an agent's share of the queued bulk tasks may wait
+// at it beyond the credit. For a caller with one job of 580 tasks at a time, a factor of
+// 1 costs 0.231 messages a task, and factors from 2 to 4 cost 0.211. The scenarios show
+// no difference.
 const bulkShare = 2
 
-// mayWait reports whether starts may wait at an agent beyond its credit: it has set
-// the credit, has not refused starts since, and is neither new nor ejected.
+// mayQueue reports whether starts may wait at an agent beyond its credit: it has set
+// the credit, the credit is not reduced by refusals, and the agent is neither in slow
+// start nor ejected.
 func (a *agent) mayQueue() bool {
 	return a.creditSet && a.credit == a.limit && a.health.maxOutstanding == unlimited
 }
 
-// takesDeep reports whether an agent can take a deep task now. Unless a message
-// goes there anyway, it must be able to take several, or half of all it may have.
+// hasBulkCredit reports whether an agent can take a task of a bulk job now. Unless the
+// current dispatch sends it a message anyway, it must be able to take a whole batch or
+// half of the tasks that it may have.
 func (p *Placer) hasBulkCredit(s *service, a *agent) bool {
 	extra := p.bulkAllowance(s, a)
 	most := min(a.credit, a.health.maxOutstanding) + extra
@@ -51,13 +55,15 @@
 	return most-len(a.sent) >= max(1, min(batch, most/2))
 }
 
-// mayTakeDeep reports whether an agent could take a deep task if enough waited.
+// couldTakeBulk reports whether an agent could take a task of a bulk job if enough of
+// them were queued.
 func (p *Placer) couldTakeBulk(a *agent) bool {
 	return a.mayQueue() && len(a.sent) < a.credit+maxBulkPerAgent
 }
 
-// mostExtra returns how many deep tasks may wait at an agent beyond its credit:
-// Tuning.Deep for each slot, or what its slots run in Tuning.DeepFor if that is more.
+// maxBulkWaiting returns how many tasks of bulk jobs may wait at an agent beyond its
+// credit: Tuning.BulkPerSlot for each slot, or as many as its slots run within
+// Tuning.BulkWait if that is more.
 func (p *Placer) maxBulkWaiting(s *service, a *agent) int {
 	rounds := p.limits.BulkPerSlot
 	if usual := s.learned.meanRunTime(); usual > 0 {
@@ -66,6 +72,6 @@
 	return min(rounds*a.capacity.Slots, maxBulkPerAgent)
 }
 
-// maxExtra bounds the deep tasks that wait at an agent beyond its credit. It was
-// chosen so that several entries together stay below what an agent lets wait.
+// maxBulkPerAgent bounds the tasks of bulk jobs that wait at an agent beyond its credit.
+// It keeps several entries together below the number of starts that an agent lets wait.
 const maxBulkPerAgent = 128
--- a/internal/placer/deep_test.go
+++ b/internal/placer/deep_test.go
@@ -7,9 +7,9 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// TestMostExtra holds how many tasks of a deep job may wait beyond the credit, by
-// the run time that the service's tasks have had.
-func TestMostExtra(t *testing.T) {
+// TestMaxBulkWaiting checks how many tasks of a bulk job may wait at an agent beyond its
+// credit, depending on the mean run time of the service's tasks.
+func TestMaxBulkWaiting(t *testing.T) {
 	cases := []struct {
 		usual time.Duration
 		want  int
--- a/internal/placer/dispatch.go
+++ b/internal/placer/dispatch.go
@@ -4,20 +4,20 @@
 	"time"
 )
 
-// output gathers what one dispatch decides. Its memory is used again by the next.
+// output collects the assignments of one dispatch. The next dispatch reuses its memory.
 type output struct {
-	dispatch    uint64 // dispatch counts the calls of Dispatch.
+	dispatch    uint64 // number of calls of Dispatch
 	assignments []Assignment
-	meta        []assignmentMeta // meta has one entry an assignment.
+	meta        []assignmentMeta // one for each assignment
 	placements  []placement
-	tasks       []uint16 // tasks is the memory of the assignments' tasks.
+	tasks       []uint16 // backing array of the assignments' tasks
 	blocked     []*queuedJob
-	yielding    []*teamQueue // yielding has the teams that wait until others have enough.
+	yielding    []*teamQueue // teams without enough free credit, because they leave a reserve to other teams
 }
 
 type assignmentMeta struct {
 	job      *queuedJob
-	previous int // previous is an earlier assignment for the same agent, -1 for none.
+	previous int // index of an earlier assignment for the same agent, -1 if there is none
 	count    int
 }
 
@@ -26,7 +26,7 @@
 	index      uint16
 }
 
-// delayedTask is a task that is placed again when its time has come.
+// delayedTask is a task that returns to its queue at a due time.
 type delayedTask struct {
 	due   time.Time
 	job   Job
@@ -37,12 +37,12 @@
 	// maxBlocked bounds the jobs that one dispatch passes over in a service because
 	// no agent with free credit has the memory or accelerators for them.
 	maxBlocked = 16
-	// maxTried bounds the agents that are looked at for one task.
+	// maxCandidates bounds the agents that are evaluated for one task.
 	maxCandidates = 64
 )
 
 // Dispatch takes tasks from the queues as far as credits allow and returns them
-// as one batch for each job and agent. What it returns is valid until the next
+// as one batch for each job and agent. The returned slice is valid until the next
 // call.
 func (p *Placer) Dispatch(now time.Time) []Assignment {
 	p.recordStart(now)
@@ -57,8 +57,8 @@
 	return p.output.gather()
 }
 
-// Requeue puts a task of a known job back to the front of its queue, at once
-// while the budget for placing again allows it and later otherwise.
+// Requeue returns a task of a known job to the front of its queue: immediately if
+// the reschedule budget allows it, otherwise after a backoff.
 func (p *Placer) Requeue(now time.Time, j Job, index uint16) {
 	p.recordStart(now)
 	if p.retries.Spend() {
@@ -94,7 +94,7 @@
 	p.delayed = kept
 }
 
-// dispatchService places tasks of one service until credits or tasks run out.
+// dispatchService schedules tasks of one service until credits or tasks run out.
 func (p *Placer) dispatchService(now time.Time, s *service) {
 	for len(s.teams.items) > 0 && len(s.available.items) > 0 && len(p.output.blocked) < maxBlocked {
 		t := s.teams.items[0]
@@ -105,14 +105,14 @@
 			continue
 		}
 		if s.bulk == 0 && s.available.items[0].agent.freeCredit() <= 0 {
-			break // Only deep jobs could be placed.
+			break // Only tasks of bulk jobs could be scheduled.
 		}
 		q := t.jobs.items[0]
 		need := q.job.Requirements[q.waiting[0]]
 		need.MemoryBytes = s.learned.memoryBytes(need.MemoryBytes)
 		chosen, full := p.pick(s, q, need)
 		if chosen == nil && full && p.sameForTeam(q) {
-			s.teams.remove(t.position) // The team's other jobs find no place either.
+			s.teams.remove(t.position) // No other job of the team can be scheduled either.
 			p.output.yielding = append(p.output.yielding, t)
 			continue
 		}
@@ -134,7 +134,7 @@
 	p.output.yielding = p.output.yielding[:0]
 }
 
-// place assigns the first waiting task of a job to an agent.
+// place schedules the first waiting task of a job on an agent.
 func (p *Placer) place(q *queuedJob, a *agent, need Requirements) {
 	t := q.queue
 	index := q.waiting[0]
@@ -161,8 +161,8 @@
 	p.updateTurn(t)
 }
 
-// reserve returns the credit that a job leaves at each agent to others: much if
-// its team is ahead of others, some if the job is large.
+// reserve returns how much credit a job leaves to others at each agent: DebtReserve
+// if its team is ahead of others, Reserve if the job is large.
 func (p *Placer) reserve(q *queuedJob) int {
 	s := q.queue.service
 	switch {
@@ -174,12 +174,14 @@
 	return 0
 }
 
-// indebted reports whether a team is so far ahead of others that it yields to them.
+// aheadOfOthers reports whether a team has used so much more slot time than others that
+// it yields to them.
 func (p *Placer) aheadOfOthers(t *teamQueue) bool {
 	return t.virtualTime-t.service.virtualTime > yieldQuanta*p.limits.Quantum
 }
 
-// alike reports whether all jobs of a job's team need as much free credit as it.
+// sameForTeam reports whether all jobs of a job's team need as much free credit as the
+// job itself.
 func (p *Placer) sameForTeam(q *queuedJob) bool {
 	t := q.queue
 	if q.bulk {
@@ -188,38 +190,38 @@
 	return t.bulk == 0 && p.aheadOfOthers(t)
 }
 
-// yieldingDebt is by how many quanta a team must be ahead to leave DebtReserve.
+// yieldQuanta is the number of quanta by which a team must be ahead to leave DebtReserve.
 const yieldQuanta = 1
 
-// pick returns the best agent that can hold the task now, or nil. It is full if no
-// agent has the credit for a task of the job, however little it needs.
+// pick returns the best agent that can take the task now, or nil. It reports full if no
+// agent has the credit for a task of the job, whatever the task's requirements.
 func (p *Placer) pick(s *service, q *queuedJob, need Requirements) (best *membership, full bool) {
 	reserve := p.reserve(q)
-	for i, seat := range s.available.items {
+	for i, member := range s.available.items {
 		if i >= maxCandidates {
 			break
 		}
-		if !p.hasCredit(seat.agent, q, reserve) {
-			if p.output.sendsNothing() && seat.agent.health.state != stateProbing {
-				// The others have less free credit, and no message goes to them.
+		if !p.hasCredit(member.agent, q, reserve) {
+			if p.output.sendsNothing() && member.agent.health.state != stateProbing {
+				// The remaining agents have less free credit, and no message goes to them.
 				return best, best == nil
 			}
 			continue
 		}
-		if !seat.agent.fits(need) {
+		if !member.agent.fits(need) {
 			continue
 		}
 		if i == 0 {
-			return seat, false
+			return member, false
 		}
-		if best == nil || membershipBefore(seat, best) {
-			best = seat
+		if best == nil || membershipBefore(member, best) {
+			best = member
 		}
 	}
 	return best, false
 }
 
-// takes reports whether the credits of an agent let it take a task of a job now.
+// hasCredit reports whether an agent has the credit for a task of a job now.
 func (p *Placer) hasCredit(a *agent, q *queuedJob, reserve int) bool {
 	if q.bulk {
 		return p.hasBulkCredit(q.queue.service, a)
@@ -227,10 +229,10 @@
 	return a.freeCredit() > 0 && (reserve == 0 || p.leavesReserve(a, reserve))
 }
 
-// leavesReserve reports whether an agent can take a task and have credit left for
-// others. Unless a message goes there anyway, it must be able to take several, so
-// that what waits long goes in few batches. An agent that has set no credit has
-// no room for starts to wait, so nothing is reserved there.
+// leavesReserve reports whether an agent can take a task and keep the reserve free for
+// others. Unless the current dispatch sends it a message anyway, it must be able to take
+// a whole batch, so that tasks that wait long travel in few messages. At an agent that
+// has set no credit no start may wait, so nothing is reserved there.
 func (p *Placer) leavesReserve(a *agent, reserve int) bool {
 	if !a.creditSet {
 		return true
@@ -241,7 +243,7 @@
 	return a.freeCredit() > min(reserve, a.credit-1)
 }
 
-// sendsNothing reports whether the running dispatch has placed no task yet.
+// sendsNothing reports whether the current dispatch has scheduled no task yet.
 func (o *output) sendsNothing() bool { return len(o.assignments) == 0 }
 
 func (o *output) reset() {
@@ -252,7 +254,7 @@
 	o.tasks = o.tasks[:0]
 }
 
-// add adds a task to the agent's batch of the job, or begins one.
+// add adds a task to the agent's batch of the job and creates the batch if necessary.
 func (o *output) add(q *queuedJob, a *agent, index uint16, work time.Duration) {
 	i := -1
 	if a.dispatch == o.dispatch {
@@ -273,7 +275,7 @@
 	o.placements = append(o.placements, placement{assignment: i, index: index})
 }
 
-// gather lays out the tasks of each assignment.
+// gather fills in the tasks of each assignment and returns the assignments.
 func (o *output) gather() []Assignment {
 	if cap(o.tasks) < len(o.placements) {
 		o.tasks = make([]uint16, 0, 2*len(o.placements))
--- a/internal/placer/estimate.go
+++ b/internal/placer/estimate.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// estimate is what the results of a service say about its tasks. Declared values
-// are the first guess. The run time of a task is either its declared value times
-// the usual error of declarations, or the usual run time, whichever has been
-// nearer to the truth.
+// estimate predicts the run time and memory of a service's tasks from earlier results.
+// Until there are minSamples results, the declared values are used. The expected run
+// time of a task is either its declared value times the mean ratio of actual to declared
+// run time, or the mean run time, whichever has had the smaller error.
 type estimate struct {
 	minSamples      int
 	samples         int
-	mean            float64 // usual is the mean run time in seconds.
-	ratio           float64 // ratio is the mean of true by declared run time, on a log scale.
-	meanError       float64 // usualError is the mean error of usual, on a log scale.
-	ratioError      float64 // ratioError is the mean error of declared times ratio, on a log scale.
-	meanMemory      float64 // memory is the usual peak in bytes; 0 if none was reported.
-	memoryDeviation float64 // memoryDev is the mean deviation from memory.
-	peaks           int     // peaks counts the reports of memory.
+	mean            float64 // mean run time in seconds
+	ratio           float64 // mean logarithm of actual by declared run time
+	meanError       float64 // mean absolute error of mean, on a log scale
+	ratioError      float64 // mean absolute error of declared times ratio, on a log scale
+	meanMemory      float64 // mean peak in bytes; 0 if none was reported
+	memoryDeviation float64 // mean absolute deviation from meanMemory
+	peaks           int     // number of results with a memory peak
 }
 
 const (
@@ -27,7 +27,7 @@
 	memoryMargin   = 4
 )
 
-// runTime returns the expected run time of a task with a declared one.
+// runTime returns the expected run time of a task with a declared run time.
 func (e *estimate) runTime(declared time.Duration) time.Duration {
 	if e.samples < e.minSamples {
 		if declared <= 0 {
@@ -41,7 +41,8 @@
 	return seconds(declared.Seconds() * math.Exp(e.ratio))
 }
 
-// usualRunTime returns the mean run time of the service's tasks.
+// meanRunTime returns the mean run time of the service's tasks, or 0 if there are too
+// few results.
 func (e *estimate) meanRunTime() time.Duration {
 	if e.samples < e.minSamples {
 		return 0
@@ -49,7 +50,7 @@
 	return seconds(e.mean)
 }
 
-// memoryBytes returns the memory to set aside for a task with a declared need.
+// memoryBytes returns the memory to reserve for a task that declares an amount.
 func (e *estimate) memoryBytes(declared int64) int64 {
 	if e.peaks < e.minSamples {
 		return declared
@@ -57,8 +58,8 @@
 	return int64(e.meanMemory + memoryMargin*e.memoryDeviation)
 }
 
-// usualMemory returns the memory that a task usually takes at its peak, without the
-// margin that is set aside.
+// meanPeakMemory returns the mean memory peak of the service's tasks, without the margin
+// that reservations include.
 func (e *estimate) meanPeakMemory(declared int64) int64 {
 	if e.peaks < e.minSamples {
 		return declared
@@ -66,7 +67,7 @@
 	return int64(e.meanMemory)
 }
 
-// learn applies the true values of a task.
+// learn updates the estimate with the actual run time and memory peak of a task.
 func (e *estimate) learn(declared, actual time.Duration, peak int64) {
 	if actual > 0 {
 		e.learnRunTime(declared, actual)
--- a/internal/placer/estimate_test.go
+++ b/internal/placer/estimate_test.go
@@ -10,10 +10,11 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// learnPeaks runs tasks one after the other whose peaks are given in turn.
+// learnPeaks runs n tasks one after the other and reports the given memory peaks in
+// rotation.
 func learnPeaks(p *Placer, declared int64, n int, peaks ...int64) {
 	for i := range n {
-		placeMemory(p, 1000+i, 1, declared)
+		enqueueMemory(p, 1000+i, 1, declared)
 		for _, a := range p.Dispatch(epoch) {
 			p.Ended(epoch, End{
 				Agent: a.Agent, Submission: a.Submission, Index: a.Tasks[0], Kind: messenger.ResultDone,
@@ -23,7 +24,7 @@
 	}
 }
 
-func placeMemory(p *Placer, n, tasks int, declared int64) Refusal {
+func enqueueMemory(p *Placer, n, tasks int, declared int64) Refusal {
 	j := Job{Submission: submission(n), Service: "print", Team: "brewery"}
 	for i := range tasks {
 		j.Requirements = append(j.Requirements, Requirements{RunTime: time.Second, MemoryBytes: declared})
@@ -41,10 +42,10 @@
 	return p
 }
 
-// placed returns how many tasks of a job of 8 are placed at once.
-func placed(t *testing.T, p *Placer, declared int64) int {
+// countScheduled returns how many tasks of a job of 8 tasks are scheduled immediately.
+func countScheduled(t *testing.T, p *Placer, declared int64) int {
 	t.Helper()
-	if r := placeMemory(p, 1, 8, declared); r.Reason != "" {
+	if r := enqueueMemory(p, 1, 8, declared); r.Reason != "" {
 		t.Fatalf("refused: %s", r.Detail)
 	}
 	n := 0
@@ -54,16 +55,15 @@
 	return n
 }
 
-// TestLearnedMemory holds that peaks replace what callers declare, ten times too
-// much or too little, once there are enough of them, and that a declaration counts
-// until then.
-func TestLearnedMemory(t *testing.T) {
+// TestMemoryEstimate checks that reported peaks replace declarations that are ten times
+// too high or too low once there are enough results, and not before.
+func TestMemoryEstimate(t *testing.T) {
 	cases := []struct {
 		name     string
 		declared int64
-		learned  int // learned is the number of peaks.
+		learned  int // number of reported peaks
 		peaks    []int64
-		want     int // want is how many tasks find room in 1000 bytes.
+		want     int // number of tasks that fit into 1000 bytes
 	}{
 		{name: "no peaks", declared: 500, want: 2},
 		{name: "few peaks", declared: 500, learned: 19, peaks: []int64{100}, want: 2},
@@ -76,35 +76,36 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := oneAgent(1000)
 			learnPeaks(p, c.declared, c.learned, c.peaks...)
-			if diff := cmp.Diff(c.want, placed(t, p, c.declared)); diff != "" {
+			if diff := cmp.Diff(c.want, countScheduled(t, p, c.declared)); diff != "" {
 				t.Errorf("tasks that find room (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestLearnedMemoryAdmits holds that a job is refused for its memory as far as is
-// known: for a declared need until enough peaks say otherwise, and for peaks that no
-// upstream has room for.
-func TestLearnedMemoryAdmits(t *testing.T) {
+// TestAdmissionByMemoryEstimate checks that admission refuses a job whose declared
+// memory no upstream has until there are enough peaks, and then one whose usual peak no
+// upstream has.
+func TestAdmissionByMemoryEstimate(t *testing.T) {
 	p := oneAgent(1000)
-	if r := placeMemory(p, 1, 1, 5000); r.Reason != submitter.ReasonNeverFits {
+	if r := enqueueMemory(p, 1, 1, 5000); r.Reason != submitter.ReasonNeverFits {
 		t.Errorf("a declared need of 5000: %q, want %q", r.Reason, submitter.ReasonNeverFits)
 	}
 	learnPeaks(p, 500, 20, 500)
-	if r := placeMemory(p, 2, 1, 5000); r.Reason != "" {
+	if r := enqueueMemory(p, 2, 1, 5000); r.Reason != "" {
 		t.Errorf("a declared need of 5000 and peaks of 500: refused, %s", r.Detail)
 	}
 	p.SetCapacity(epoch, "a", messenger.Capacity{
 		State: messenger.UpstreamServing, Services: []string{"print"}, Slots: 8, MemoryBytes: 400,
 	})
-	if r := placeMemory(p, 3, 1, 100); r.Reason != submitter.ReasonNeverFits {
+	if r := enqueueMemory(p, 3, 1, 100); r.Reason != submitter.ReasonNeverFits {
 		t.Errorf("peaks of 500 in 400 bytes: %q, want %q", r.Reason, submitter.ReasonNeverFits)
 	}
 }
 
-// TestMemoryBytes holds that starts say what the placer sets aside.
-func TestMemoryBytes(t *testing.T) {
+// TestMemoryReservation checks the memory reservation before and after enough peaks were
+// reported, and for an unknown service.
+func TestMemoryReservation(t *testing.T) {
 	p := oneAgent(1000)
 	before := p.MemoryReservation("print", 20)
 	learnPeaks(p, 20, 20, 200)
--- a/internal/placer/health.go
+++ b/internal/placer/health.go
@@ -7,15 +7,15 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// HealthState is what the placer makes of an agent's results.
+// HealthState is the health of an agent, judged by its results.
 type HealthState string
 
 // The states of agents.
 const (
 	stateNormal    HealthState = "normal"
-	stateReturning HealthState = "returning" // The agent is new or comes back and gets few tasks.
+	stateReturning HealthState = "returning" // The agent is new or was ejected and is in slow start.
 	stateEjected   HealthState = "ejected"   // The agent gets no task.
-	stateProbing   HealthState = "probing"   // The agent gets one task, to see how it ends.
+	stateProbing   HealthState = "probing"   // The agent gets one task, whose result decides.
 )
 
 // EjectReason says why an agent is ejected.
@@ -24,31 +24,31 @@
 // The reasons of ejection.
 const (
 	EjectFailing EjectReason = "failing" // Its tasks fail.
-	EjectSlow    EjectReason = "slow"    // Its tasks take much longer than elsewhere.
+	EjectSlow    EjectReason = "slow"    // Its tasks take much longer than at other agents.
 )
 
-// health is what the results of one agent say about it.
+// health is the state of one agent, judged by its results.
 type health struct {
 	state           HealthState
-	maxOutstanding  int // allowed bounds the outstanding tasks beside the credit.
+	maxOutstanding  int // bounds the outstanding tasks in addition to the credit
 	reason          EjectReason
-	probeAt         time.Time // probeAt is when the next probe is due; zero if none is.
+	probeAt         time.Time // time of the next probe; zero if none is due
 	probeBackoff    time.Duration
-	successes       int     // successes counts those since allowed was raised.
-	streak          int     // streak counts failures in a row.
-	samples         int     // samples counts results.
-	failures        float64 // failures is the recent share of failures.
-	slowness        float64 // slowness is the recent mean of run time by expected run time, on a log scale.
-	slownessSamples int     // timed counts the samples of slowness.
+	successes       int     // successes since maxOutstanding was last raised
+	streak          int     // consecutive failures
+	samples         int     // number of results
+	failures        float64 // recent share of failures, from 0 to 1
+	slowness        float64 // recent mean logarithm of run time by expected run time
+	slownessSamples int     // number of samples in slowness
 }
 
 const (
 	failureRate        = 1.0 / 16
 	slownessRate       = 0.25
-	minRatioSamples    = 10 // minRatio is the number of results from which FailureRatio counts.
+	minRatioSamples    = 10 // number of results below which FailureRatio is not applied
 	minSlownessSamples = 3
 	unlimited          = 1 << 30
-	minServing         = 2 // minPeers is the number of agents without which none is ejected.
+	minServing         = 2 // with fewer serving agents, none is ejected
 	minFailingAgents   = 2
 )
 
@@ -87,7 +87,8 @@
 	p.applySuccess(s.agent)
 }
 
-// failsEverywhere reports whether the service and not an upstream is at fault.
+// failsEverywhere reports whether the service fails at most of its agents, so that no
+// single upstream is at fault.
 func (s *service) failsEverywhere() bool {
 	failing, sampled := 0, 0
 	for _, m := range s.members {
@@ -141,7 +142,7 @@
 	}
 }
 
-// eject gives an agent no more tasks until a probe, unless too many are ejected.
+// eject stops scheduling on an agent until a probe, unless too many are ejected.
 func (p *Placer) eject(now time.Time, a *agent, reason EjectReason) {
 	h := &a.health
 	if h.state != stateEjected && h.state != stateProbing {
@@ -169,7 +170,7 @@
 	return p.ejected+1 <= max(1, int(p.limits.MaxEjectedRatio*float64(serving)))
 }
 
-// probeDue lets ejected agents whose time has come take one task.
+// probeDue starts probing the ejected agents whose probe is due.
 func (p *Placer) probeDue(now time.Time) {
 	if p.ejected == 0 {
 		return
@@ -184,8 +185,8 @@
 	}
 }
 
-// Restore lets an ejected agent take tasks again, at first few. It reports
-// whether the agent is known.
+// Restore ends the ejection of an agent and puts it into slow start. It reports whether
+// the agent is known.
 func (p *Placer) Restore(_ time.Time, peer messenger.Peer) bool {
 	a := p.agents[peer]
 	if a == nil {
--- a/internal/placer/health_test.go
+++ b/internal/placer/health_test.go
@@ -8,9 +8,9 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// fail places the tasks of a job and ends those that found a credit, failed where
-// the function says so.
-func fail(p *Placer, now time.Time, job, tasks int, failed func(messenger.Peer) bool) {
+// runTasks enqueues a job and ends the tasks that are dispatched. Those at agents for
+// which failed returns true fail.
+func runTasks(p *Placer, now time.Time, job, tasks int, failed func(messenger.Peer) bool) {
 	enqueue(p, job, tasks)
 	for _, a := range p.Dispatch(now) {
 		for _, index := range a.Tasks {
@@ -35,37 +35,36 @@
 	return p
 }
 
-// TestBadWorkerIsEjectedAndReturns holds that an agent that fails everything is
-// ejected, probed after the pause, takes few tasks at first when it is back, and
-// as many as others once it has run enough.
-func TestBadWorkerIsEjectedAndReturns(t *testing.T) {
+// TestFailingAgentIsEjectedAndReturns checks that an agent at which every task fails is
+// ejected and probed after ProbeAfter, and that it returns to normal through a slow start.
+func TestFailingAgentIsEjectedAndReturns(t *testing.T) {
 	p := fourAgents()
 	bad := func(peer messenger.Peer) bool { return peer == "agent-2" }
 	for n := range 10 {
-		fail(p, epoch, n, 4, bad)
+		runTasks(p, epoch, n, 4, bad)
 	}
 	if s := p.Upstreams()[2]; s.Health != stateEjected || s.EjectReason != EjectFailing {
 		t.Fatalf("agent-2 is %s for %q, want ejected for failing", s.Health, s.EjectReason)
 	}
 	later := epoch.Add(DefaultLimits().ProbeAfter)
-	fail(p, later, 100, 4, func(messenger.Peer) bool { return false })
+	runTasks(p, later, 100, 4, func(messenger.Peer) bool { return false })
 	if s := p.Upstreams()[2]; s.Health != stateReturning || s.Credit >= s.Capacity.Slots {
 		t.Fatalf("agent-2 is %s with %d of %d credits, want few", s.Health, s.Credit, s.Capacity.Slots)
 	}
 	for n := range 20 {
-		fail(p, later, 200+n, 32, func(messenger.Peer) bool { return false })
+		runTasks(p, later, 200+n, 32, func(messenger.Peer) bool { return false })
 	}
 	if s := p.Upstreams()[2]; s.Health != stateNormal {
 		t.Fatalf("agent-2 is %s, want normal", s.Health)
 	}
 }
 
-// TestBadServiceEjectsNobody holds that a service that fails on all upstreams
-// does not empty the pool.
-func TestBadServiceEjectsNobody(t *testing.T) {
+// TestFailingServiceEjectsNoAgent checks that a service that fails at all upstreams
+// ejects none of them.
+func TestFailingServiceEjectsNoAgent(t *testing.T) {
 	p := fourAgents()
 	for n := range 40 {
-		fail(p, epoch, n, 4, func(messenger.Peer) bool { return true })
+		runTasks(p, epoch, n, 4, func(messenger.Peer) bool { return true })
 	}
 	for _, s := range p.Upstreams() {
 		if s.Health != stateNormal {
--- a/internal/placer/limits.go
+++ b/internal/placer/limits.go
@@ -9,72 +9,73 @@
 // Limits are the settings of a placer. A field that is zero takes the value of
 // [DefaultLimits].
 type Limits struct {
-	// MaxQueued bounds the tasks that wait in all queues.
+	// MaxQueued bounds the total number of queued tasks.
 	MaxQueued int
-	// Ageing is how much one second of waiting counts against one second of
-	// remaining work when jobs of a team are ordered. Zero work order is first
-	// come, first served.
+	// Ageing is the weight of one second of waiting relative to one second of
+	// remaining work when jobs of a team are ordered. Between jobs of equal remaining
+	// work, the one that arrived first goes first.
 	Ageing float64
 	// Quantum is the slot time by which one team may be ahead of another before
-	// its jobs yield.
+	// its jobs yield to the other's.
 	Quantum time.Duration
-	// DeadlineRatio is the share, from 0 to 1, of what the longest task leaves of a
-	// job's deadline that the expected wait may take when the job is admitted.
+	// DeadlineRatio bounds the expected wait of an admitted job, as a share from 0 to 1
+	// of the time that remains until its deadline after the run time of its longest task.
 	DeadlineRatio float64
-	// MinSamples is how many results of a service replace declared values.
+	// MinSamples is the number of results of a service from which estimates replace
+	// declared values.
 	MinSamples int
-	// FailureStreak is how many failures in a row eject an agent.
+	// FailureStreak is the number of consecutive failures that ejects an agent.
 	FailureStreak int
-	// FailureRatio ejects an agent once so large a share of its recent results
-	// are failures.
+	// FailureRatio is the share of failures among an agent's recent results that ejects
+	// the agent.
 	FailureRatio float64
-	// SlowFactor ejects an agent whose tasks take so many times longer than the
-	// same service's tasks elsewhere.
+	// SlowFactor is the ratio of an agent's run times to the service's usual run time
+	// that ejects the agent.
 	SlowFactor float64
-	// ProbeAfter is how long an agent is ejected before the first probe; each
-	// probe that fails doubles it up to MaxProbeAfter.
+	// ProbeAfter is the time from an ejection to the first probe. Each failed probe
+	// doubles it, up to MaxProbeAfter.
 	ProbeAfter    time.Duration
 	MaxProbeAfter time.Duration
 	// MaxEjectedRatio bounds the share of the serving agents that are ejected.
 	MaxEjectedRatio float64
-	// SlowStart is how many tasks a new agent may have outstanding. The number
-	// doubles with as many successes.
+	// SlowStart is the number of tasks that a new agent may have outstanding. The limit
+	// doubles after as many successes as it allows tasks.
 	SlowStart int
-	// Replacements bounds the tasks that are placed again.
+	// RescheduleBudget is the retry budget for tasks that are rescheduled.
 	RescheduleBudget budgeter.Limits
 	Tuning
 }
 
-// Tuning has the settings that were weighed by measurement and that no
-// configuration changes.
+// Tuning holds the settings that a configuration cannot change.
 type Tuning struct {
-	// MaxDebt bounds the slot time by which one team is held to be ahead of another.
+	// MaxDebt bounds the slot time by which one team is counted as ahead of another.
 	MaxDebt time.Duration
-	// LargeWork is the expected run time on all slots from which a job is large. It
-	// leaves Reserve credits at each agent to other jobs.
+	// LargeWork is the expected run time on all slots above which a job is large. A
+	// large job leaves Reserve credits at each agent to other jobs.
 	LargeWork time.Duration
 	Reserve   int
 	// DebtReserve is the credit at each agent that a team leaves to others while it
-	// is ahead of them by a quantum.
+	// is ahead of them by more than a quantum.
 	DebtReserve int
-	// FloodWork is the time that a team's waiting work takes on all credits from which
-	// the team floods. An agent then orders its starts as if their jobs had FloodDelay
-	// more work on all slots.
+	// OverloadWork is the expected time of a team's waiting work on all credits above
+	// which the team overloads the service. An agent then ranks the team's starts as if
+	// their jobs had OverloadDelay more work on all slots.
 	OverloadWork  time.Duration
 	OverloadDelay time.Duration
-	// Batch is how many tasks of a large job an agent must be able to take before a
-	// message is sent for them alone.
+	// Batch is the number of tasks of a large job that an agent must be able to take
+	// before a message is sent only for them.
 	Batch int
-	// Deep is how many tasks of deep jobs, those with at least as many tasks as the
-	// entry has credits, may wait at an agent for each of its slots, beyond its
-	// credit. DeepBatch is how many it must be able to take before a message is sent
-	// for them alone.
+	// BulkPerSlot is the number of tasks of bulk jobs, which have at least as many tasks
+	// as the entry has credits, that may wait at an agent beyond its credit for each of
+	// its slots. BulkBatch is the number that the agent must be able to take before a
+	// message is sent only for them.
 	BulkPerSlot int
 	BulkBatch   int
-	// DeepFor is the time for which deep tasks may wait at an agent in any case. It
-	// covers a few messages there and back.
+	// BulkWait is the time for which tasks of bulk jobs may wait at an agent even if
+	// BulkPerSlot allows fewer. It covers a few round trips.
 	BulkWait time.Duration
-	// DeepRunTime is the mean run time of a job's tasks above which it is not deep. It keeps what waits at an agent well within the budget of a start.
+	// MaxBulkRunTime is the mean run time of a job's tasks above which it is not a bulk
+	// job. It keeps the tasks that wait at an agent well within the time allowed for a start.
 	MaxBulkRunTime time.Duration
 }
 
@@ -110,7 +111,7 @@
 	}
 }
 
-// withDefaults returns the limits with the defaults for what is unset.
+// withDefaults returns the limits with unset fields replaced by their defaults.
 func (l Limits) withDefaults() Limits {
 	d := DefaultLimits()
 	setDefault(&l.MaxQueued, d.MaxQueued)
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -5,12 +5,12 @@
 // queue only when an agent that serves it has a free credit and enough free
 // memory and accelerators, so it binds to an agent as late as possible. Teams
 // take turns by the slot time they have used; the jobs of a team are ordered by
-// the work that is left of them and by their age. Agents are ranked by free
-// credit in a heap a service, so that a decision takes logarithmic time.
+// their remaining work and their age. Each service keeps its agents in a heap by
+// free credit, so that a decision takes logarithmic time.
 //
-// The results of tasks correct what callers declare, eject agents that fail or
-// are slow, and give back credits. The package does no I/O: events come in with
-// a time, and [Placer.Dispatch] returns what to send.
+// Task results correct the requirements that callers declare, eject agents that
+// fail or are slow, and free credits. The package does no I/O: its callers pass in
+// events with their time, and [Placer.Dispatch] returns the tasks to send.
 package placer
 
 import (
@@ -24,24 +24,24 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Need is what a task takes while it runs, as declared.
+// Requirements are the run time and the resources that a caller declares for a task.
 type Requirements struct {
 	RunTime      time.Duration
 	MemoryBytes  int64
 	Accelerators int
 }
 
-// Job is a submission whose tasks are to be placed.
+// Job is a submission with tasks to schedule.
 type Job struct {
 	Submission   identifier.Submission
 	Service      string
 	Team         string
 	Deadline     time.Time
-	Requirements []Requirements // Needs has one entry a task of the submission.
-	Tasks        []uint16       // Tasks are those to place, in order.
+	Requirements []Requirements // one for each task of the submission, by task index
+	Tasks        []uint16       // indices of the tasks to schedule, in order
 }
 
-// Refusal says why a job is not taken. The zero value takes it.
+// Refusal is the reason why a job is not admitted. The zero value admits it.
 type Refusal struct {
 	Reason     submitter.Reason
 	Detail     string
@@ -53,11 +53,12 @@
 	Agent      messenger.Peer
 	Submission identifier.Submission
 	Tasks      []uint16
-	// Work is how long what is left of the job is expected to take on all slots.
+	// Work ranks the tasks among the starts that wait at the agent, the least first:
+	// the expected time of the job's work on all slots, see [Placer.startRank].
 	Work time.Duration
 }
 
-// Place is where an agent stands.
+// Location is the physical location of an agent.
 type Location struct {
 	Region     string
 	DataCentre string
@@ -79,25 +80,25 @@
 type Placer struct {
 	limits       Limits
 	agents       map[messenger.Peer]*agent
-	order        []*agent // order has the agents in order of arrival.
+	order        []*agent // in order of arrival
 	services     map[string]*service
 	serviceOrder []*service
 	teams        map[string]*team
-	entries      int // entries is the number of entries that divide the quotas.
+	entries      int // number of entries that share the quotas
 	quotas       []Quota
 	jobs         map[identifier.Submission]*queuedJob
-	// open counts the outstanding tasks of each job. A job that was dropped has a
-	// negative count: how its tasks end says nothing about their agents.
+	// outstandingTasks counts the outstanding tasks of each job. The count of a dropped
+	// job is negated: its results are not used to judge agents.
 	outstandingTasks map[identifier.Submission]int
 	holds            map[messenger.Peer]Hold
-	ejections        uint64 // ejections counts those by results, ever.
-	waiting          int    // waiting is the number of tasks that wait.
-	ejected          int    // ejected is the number of agents that are ejected or probed.
+	ejections        uint64 // total number of ejections because of results
+	waiting          int    // number of queued tasks
+	ejected          int    // number of agents that are ejected or being probed
 	hasResults       bool
 	retries          *budgeter.Budgeter
-	delayed          []delayedTask // delayed has the tasks that are placed again later.
-	throttled        []*teamQueue  // throttled has the teams whose quota is used up.
-	started          time.Time     // started is the time of the first event.
+	delayed          []delayedTask // tasks to reschedule after a backoff
+	throttled        []*teamQueue  // team queues whose quota is used up
+	started          time.Time     // time of the first event
 	sequence         uint64
 	output           output
 }
@@ -117,10 +118,11 @@
 	}
 }
 
-// Queued returns the number of tasks that wait.
+// Queued returns the number of tasks that wait, including those that wait for a
+// reschedule.
 func (p *Placer) Queued() int { return p.waiting + len(p.delayed) }
 
-// Serving returns the number of agents whose upstream takes work.
+// Serving returns the number of agents whose upstream accepts work.
 func (p *Placer) Serving() int {
 	n := 0
 	for _, a := range p.order {
@@ -131,8 +133,8 @@
 	return n
 }
 
-// AgentUp adds an agent, which serves nothing until its capacity is set. An
-// agent that comes later than the first task result starts with few tasks.
+// AgentUp adds an agent, which gets no tasks until its capacity is set. An agent
+// that connects after the first task result has arrived goes through a slow start.
 func (p *Placer) AgentUp(_ time.Time, peer messenger.Peer, place Location) {
 	p.AgentDown(time.Time{}, peer)
 	a := &agent{peer: peer, place: place, hold: p.holds[peer], sent: make(map[taskRef]outstanding)}
@@ -144,7 +146,7 @@
 	p.order = append(p.order, a)
 }
 
-// AgentDown removes an agent and what was outstanding there.
+// AgentDown removes an agent and its outstanding tasks.
 func (p *Placer) AgentDown(_ time.Time, peer messenger.Peer) {
 	a := p.agents[peer]
 	if a == nil {
@@ -165,8 +167,8 @@
 	p.order = slices.DeleteFunc(p.order, func(o *agent) bool { return o == a })
 }
 
-// SetCapacity applies what an agent says about its upstream. Until the agent
-// sets a credit, every slot is one.
+// SetCapacity applies the capacity that an agent reports for its upstream. Until
+// the agent sets a credit, its credit is its number of slots.
 func (p *Placer) SetCapacity(_ time.Time, peer messenger.Peer, c messenger.Capacity) {
 	a := p.agents[peer]
 	if a == nil {
@@ -198,8 +200,8 @@
 	p.rerank(a)
 }
 
-// MemoryBytes returns the memory to set aside for a task of a service: what results
-// have taught, or else what is declared.
+// MemoryReservation returns the memory to reserve for a task of a service: the
+// estimate from earlier results, or the declared value if there are too few of them.
 func (p *Placer) MemoryReservation(service string, declared int64) int64 {
 	if s := p.services[service]; s != nil {
 		return s.learned.memoryBytes(declared)
@@ -207,7 +209,7 @@
 	return declared
 }
 
-// Enqueue takes the tasks of a job into the queue or says why not.
+// Enqueue admits a job and queues its tasks, or returns the reason for the refusal.
 func (p *Placer) Enqueue(now time.Time, j Job) Refusal {
 	p.recordStart(now)
 	s := p.service(j.Service)
@@ -233,7 +235,7 @@
 	return Refusal{}
 }
 
-// Drop removes the waiting tasks of a job.
+// Drop removes the queued tasks of a job.
 func (p *Placer) Drop(s identifier.Submission) {
 	p.delayed = slices.DeleteFunc(p.delayed, func(d delayedTask) bool { return d.job.Submission == s })
 	if n := p.outstandingTasks[s]; n > 0 {
@@ -248,7 +250,7 @@
 	p.removeJob(q)
 }
 
-// Ended applies the end of a task and frees its place.
+// Ended applies the end of a task and releases its credit and resources.
 func (p *Placer) Ended(now time.Time, e End) {
 	p.recordStart(now)
 	a := p.agents[e.Agent]
@@ -291,7 +293,8 @@
 	p.rerank(a)
 }
 
-// Disown frees the places of tasks whose results will go to another entry.
+// ReleaseTransferred releases the outstanding tasks of the jobs for which gone
+// returns true: their results will go to another entry.
 func (p *Placer) ReleaseTransferred(now time.Time, gone func(identifier.Submission) bool) {
 	p.recordStart(now)
 	for _, a := range p.order {
@@ -304,7 +307,7 @@
 	}
 }
 
-// vacate frees the place of a task without a result.
+// releaseTask releases the credit and resources of a task that ended without a result.
 func (p *Placer) releaseTask(now time.Time, a *agent, ref taskRef, o outstanding) {
 	a.release(ref)
 	countEnd(o.queue)
@@ -324,8 +327,8 @@
 	return n < 0
 }
 
-// learn applies what the result of a task that ran says about its service, its
-// agent and its team's use of slots.
+// recordResult updates the estimates of the service, the health of the agent and the
+// slot time of the team with the result of a task that ran.
 func (p *Placer) recordResult(now time.Time, a *agent, o outstanding, e *End) {
 	p.hasResults = true
 	s := o.queue.service
@@ -338,12 +341,12 @@
 	if e.Kind == messenger.ResultDone && a.health.state != stateProbing && a.health.slowness < math.Log(p.limits.SlowFactor) {
 		s.learned.learn(o.need.RunTime, e.RunTime, e.PeakMemoryBytes)
 	}
-	if seat := findMembership(a.memberships, s.name); seat != nil {
-		p.observe(now, seat, e, usual)
+	if member := findMembership(a.memberships, s.name); member != nil {
+		p.observe(now, member, e, usual)
 	}
 }
 
-// touch records the time of the first event, from which ages count.
+// recordStart records the time of the first event. The ages of jobs count from it.
 func (p *Placer) recordStart(now time.Time) {
 	if p.started.IsZero() {
 		p.started = now
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -26,9 +26,9 @@
 	return s
 }
 
-// filled returns a placer whose agents are all busy and whose queue is long, and
-// the tasks that are outstanding.
-func filled(agents int) (*Placer, []End) {
+// busyPlacer returns a placer with a long queue and without a free slot, and the
+// outstanding tasks.
+func busyPlacer(agents int) (*Placer, []End) {
 	p := New(Limits{MaxQueued: 1 << 30})
 	for i := range agents {
 		peer := messenger.Peer(fmt.Sprintf("agent-%d", i))
@@ -66,11 +66,11 @@
 	}
 }
 
-// BenchmarkDecision measures one end of a task and the placement that follows.
+// BenchmarkDecision measures the end of one task and the dispatch that follows.
 func BenchmarkDecision(b *testing.B) {
 	for _, agents := range []int{11, 110, 900} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
-			p, running := filled(agents)
+			p, running := busyPlacer(agents)
 			b.ReportAllocs()
 			next := 1_000_000
 			for i := 0; b.Loop(); i++ {
@@ -92,16 +92,16 @@
 	}
 }
 
-// BenchmarkCreditedDecision is BenchmarkDecision with agents that set a credit, as
-// all do. Then jobs wait that leave a reserve, and others that are deep.
+// BenchmarkCreditedDecision is BenchmarkDecision with agents that set a credit, as all
+// agents do in production. Jobs that leave a reserve and bulk jobs then wait.
 func BenchmarkCreditedDecision(b *testing.B) {
 	for _, agents := range []int{11, 110, 900} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
-			p, running := filled(agents)
+			p, running := busyPlacer(agents)
 			for i := range agents {
 				p.SetCredit(epoch, messenger.Peer(fmt.Sprintf("agent-%d", i)), 16)
 			}
-			s := &stream{p: p, running: slices.Grow(running, 64*len(running)), next: 1_000_000}
+			s := &taskStream{p: p, running: slices.Grow(running, 64*len(running)), next: 1_000_000}
 			b.ReportAllocs()
 			for b.Loop() {
 				if p.Queued() < 600 {
@@ -115,23 +115,23 @@
 	}
 }
 
-// stream ends tasks in the order in which they were placed.
-type stream struct {
+// taskStream ends tasks in the order in which they were scheduled.
+type taskStream struct {
 	p       *Placer
-	running []End // the first head tasks have ended.
+	running []End // the first head tasks have ended
 	head    int
-	next    int // next is the number of the next job.
+	next    int // number of the latest job
 }
 
-func (s *stream) refill() {
+func (s *taskStream) refill() {
 	for range 1000 {
 		s.next++
 		enqueue(s.p, s.next, 580)
 	}
 }
 
-// step ends one task and places what can be placed then.
-func (s *stream) step() {
+// step ends one task and dispatches.
+func (s *taskStream) step() {
 	s.p.Ended(epoch, s.running[s.head])
 	s.head++
 	for _, a := range s.p.Dispatch(epoch) {
@@ -148,9 +148,10 @@
 	}
 }
 
-// TestDecisionAllocatesNothing holds for the decision that the benchmark times.
+// TestDecisionAllocatesNothing checks that the decision measured by BenchmarkDecision
+// allocates nothing.
 func TestDecisionAllocatesNothing(t *testing.T) {
-	p, running := filled(900)
+	p, running := busyPlacer(900)
 	enqueue(p, 2_000_000, 580)
 	i := 0
 	got := testing.AllocsPerRun(500, func() {
@@ -166,16 +167,16 @@
 	}
 }
 
-// TestDecisionComparesLogarithmically counts the comparisons of one decision, so
-// that the verdict does not depend on the machine.
+// TestDecisionComparesLogarithmically checks that a decision takes logarithmic time. It
+// counts comparisons, so that the result does not depend on the machine.
 func TestDecisionComparesLogarithmically(t *testing.T) {
 	comparisons := func(agents int) int {
-		p, running := filled(agents)
+		p, running := busyPlacer(agents)
 		enqueue(p, 2_000_000, 580)
 		n := 0
-		seats := &p.serviceOrder[0].available
-		before := seats.before
-		seats.before = func(a, b *membership) bool { n++; return before(a, b) }
+		available := &p.serviceOrder[0].available
+		before := available.before
+		available.before = func(a, b *membership) bool { n++; return before(a, b) }
 		for i := range 200 {
 			p.Ended(epoch, running[i])
 		}
@@ -183,20 +184,20 @@
 		p.Dispatch(epoch)
 		return n
 	}
-	// Twenty comparisons a task are twice the depth of the heap of 200.
+	// Twenty comparisons a task are twice the depth of a heap of 900 agents.
 	if n := comparisons(900); n > 200*20 {
 		t.Errorf("200 decisions took %d comparisons, want at most %d", n, 200*20)
 	}
 }
 
-// TestNeverBeyondCredit drives the placer at random. Of jobs that came with fewer
-// tasks than there were credits no agent ever has more tasks than its credit, and
-// of the others at most Deep more for each slot. An agent that has set no credit
-// never has more tasks than slots. No task is placed twice, and every task of a
-// job that is not dropped is placed in the end.
+// TestNeverBeyondCredit drives the placer at random and checks its bounds. Of jobs that
+// are not bulk jobs, no agent has more tasks than its credit, and of bulk jobs at most
+// BulkPerSlot more for each slot. An agent that has set no credit has no more tasks than
+// slots. No task is scheduled twice, and every task of a job that is not dropped is
+// scheduled eventually.
 func TestNeverBeyondCredit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(rt)
+		w := newModel(rt)
 		rt.Repeat(map[string]func(*rapid.T){
 			"enqueue": w.enqueue,
 			"end":     w.end,
@@ -209,23 +210,23 @@
 	})
 }
 
-type world struct {
-	rt      *rapid.T
-	p       *Placer
-	now     time.Time
-	jobs    int
-	credit  map[messenger.Peer]int
-	set     map[messenger.Peer]bool // set has the agents that have set their credit.
-	deep    map[identifier.Submission]bool
-	at      map[taskRef]messenger.Peer
-	waiting map[taskRef]bool
+type model struct {
+	rt        *rapid.T
+	p         *Placer
+	now       time.Time
+	jobs      int
+	credit    map[messenger.Peer]int
+	creditSet map[messenger.Peer]bool // the agents that have set their credit
+	bulk      map[identifier.Submission]bool
+	at        map[taskRef]messenger.Peer
+	waiting   map[taskRef]bool
 }
 
-func newWorld(rt *rapid.T) *world {
-	w := &world{
+func newModel(rt *rapid.T) *model {
+	w := &model{
 		rt: rt, p: New(Limits{FailureStreak: 1 << 20, FailureRatio: 2}), now: epoch, credit: make(map[messenger.Peer]int),
 		at: make(map[taskRef]messenger.Peer), waiting: make(map[taskRef]bool),
-		set: make(map[messenger.Peer]bool), deep: make(map[identifier.Submission]bool),
+		creditSet: make(map[messenger.Peer]bool), bulk: make(map[identifier.Submission]bool),
 	}
 	for i := range 3 {
 		w.up(messenger.Peer(fmt.Sprint("agent-", i)))
@@ -233,20 +234,20 @@
 	return w
 }
 
-func (w *world) up(peer messenger.Peer) {
+func (w *model) up(peer messenger.Peer) {
 	w.p.AgentUp(w.now, peer, Location{})
 	w.credit[peer] = 4
-	w.set[peer] = false
+	w.creditSet[peer] = false
 	w.p.SetCapacity(w.now, peer, messenger.Capacity{
 		State: messenger.UpstreamServing, Services: []string{"print"}, Slots: 4, MemoryBytes: 100,
 	})
 }
 
-func (w *world) peer(rt *rapid.T) messenger.Peer {
+func (w *model) peer(rt *rapid.T) messenger.Peer {
 	return messenger.Peer(fmt.Sprint("agent-", rapid.IntRange(0, 2).Draw(rt, "agent")))
 }
 
-func (w *world) enqueue(rt *rapid.T) {
+func (w *model) enqueue(rt *rapid.T) {
 	w.jobs++
 	j := Job{Submission: submission(w.jobs), Service: "print", Team: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "team")}
 	for i := range rapid.IntRange(1, 12).Draw(rt, "tasks") {
@@ -254,13 +255,13 @@
 		j.Tasks = append(j.Tasks, uint16(i))
 		w.waiting[taskRef{j.Submission, uint16(i)}] = true
 	}
-	w.mark(&j)
+	w.classify(&j)
 	if r := w.p.Enqueue(w.now, j); r.Reason != "" {
 		rt.Fatalf("refused: %v", r)
 	}
 }
 
-func (w *world) end(rt *rapid.T) {
+func (w *model) end(rt *rapid.T) {
 	kind := rapid.SampledFrom([]messenger.ResultKind{messenger.ResultDone, messenger.ResultFailed}).Draw(rt, "kind")
 	for n := 1; n <= w.jobs; n++ {
 		for i := range 12 {
@@ -274,7 +275,7 @@
 	}
 }
 
-func (w *world) drop(rt *rapid.T) {
+func (w *model) drop(rt *rapid.T) {
 	s := submission(rapid.IntRange(1, max(1, w.jobs)).Draw(rt, "job"))
 	w.p.Drop(s)
 	for i := range 12 {
@@ -282,23 +283,23 @@
 	}
 }
 
-func (w *world) setCredit(rt *rapid.T) {
+func (w *model) setCredit(rt *rapid.T) {
 	peer := w.peer(rt)
 	w.credit[peer] = rapid.IntRange(0, 4).Draw(rt, "credit")
-	w.set[peer] = true
+	w.creditSet[peer] = true
 	w.p.SetCredit(w.now, peer, w.credit[peer])
 }
 
-// mark notes a new job as one that may have tasks beyond the credits.
-func (w *world) mark(j *Job) {
+// classify records whether a new job is a bulk job.
+func (w *model) classify(j *Job) {
 	credits := 0
 	for _, n := range w.credit {
 		credits += n
 	}
-	w.deep[j.Submission] = credits > 0 && len(j.Tasks) >= credits
+	w.bulk[j.Submission] = credits > 0 && len(j.Tasks) >= credits
 }
 
-func (w *world) restart(rt *rapid.T) {
+func (w *model) restart(rt *rapid.T) {
 	peer := w.peer(rt)
 	for ref, at := range w.at {
 		if at == peer {
@@ -309,13 +310,13 @@
 	w.up(peer)
 }
 
-func (w *world) check(rt *rapid.T) {
+func (w *model) check(rt *rapid.T) {
 	before := w.outstanding()
 	for _, a := range w.p.Dispatch(w.now) {
 		for _, index := range a.Tasks {
 			ref := taskRef{a.Submission, index}
 			if !w.waiting[ref] {
-				rt.Fatalf("task %v is placed and does not wait", ref)
+				rt.Fatalf("task %v is scheduled but was not queued", ref)
 			}
 			delete(w.waiting, ref)
 			w.at[ref] = a.Agent
@@ -329,31 +330,30 @@
 	}
 }
 
-// checkAgent holds the bounds for what has grown since before.
-func (w *world) checkAgent(rt *rapid.T, peer messenger.Peer, before load) {
+// checkAgent checks the bounds on the counts that have grown since before.
+func (w *model) checkAgent(rt *rapid.T, peer messenger.Peer, before taskCounts) {
 	now := w.outstanding()[peer]
 	credit := w.credit[peer]
 	if now.small > before.small && now.small > credit {
 		rt.Fatalf("%s has %d tasks of small jobs and a credit of %d", peer, now.small, credit)
 	}
-	if most := credit + 4*w.p.limits.BulkPerSlot; now.deep > before.deep && now.deep > most {
-		rt.Fatalf("%s has %d tasks of deep jobs, and %d are allowed", peer, now.deep, most)
+	if most := credit + 4*w.p.limits.BulkPerSlot; now.bulk > before.bulk && now.bulk > most {
+		rt.Fatalf("%s has %d tasks of bulk jobs, and %d are allowed", peer, now.bulk, most)
 	}
-	if all := now.small + now.deep; !w.set[peer] && all > before.small+before.deep && all > credit {
+	if all := now.small + now.bulk; !w.creditSet[peer] && all > before.small+before.bulk && all > credit {
 		rt.Fatalf("%s has %d tasks and %d slots", peer, all, credit)
 	}
 }
 
-// load counts the tasks at an agent of jobs that came with fewer tasks than there
-// were credits, and of the others.
-type load struct{ small, deep int }
+// taskCounts counts an agent's tasks of small jobs and of bulk jobs.
+type taskCounts struct{ small, bulk int }
 
-func (w *world) outstanding() map[messenger.Peer]load {
-	out := make(map[messenger.Peer]load)
+func (w *model) outstanding() map[messenger.Peer]taskCounts {
+	out := make(map[messenger.Peer]taskCounts)
 	for ref, peer := range w.at {
 		l := out[peer]
-		if w.deep[ref.submission] {
-			l.deep++
+		if w.bulk[ref.submission] {
+			l.bulk++
 		} else {
 			l.small++
 		}
@@ -362,11 +362,11 @@
 	return out
 }
 
-// drain ends tasks until nothing waits.
-func (w *world) drain() {
+// drain ends tasks until none is queued.
+func (w *model) drain() {
 	for peer := range w.credit {
 		w.credit[peer] = 4
-		w.set[peer] = true
+		w.creditSet[peer] = true
 		w.p.SetCredit(w.now, peer, 4)
 	}
 	for range 12 * (w.jobs + 1) {
@@ -378,11 +378,11 @@
 	}
 	w.check(w.rt)
 	if diff := cmp.Diff(0, len(w.waiting)); diff != "" {
-		w.rt.Fatalf("tasks wait for ever (-want +got):\n%s", diff)
+		w.rt.Fatalf("tasks that were never scheduled (-want +got):\n%s", diff)
 	}
 	for _, s := range w.p.serviceOrder {
 		if s.work != 0 {
-			w.rt.Fatalf("no task waits, yet %v of work", s.work)
+			w.rt.Fatalf("no task is queued, but the queued work is %v", s.work)
 		}
 	}
 }
--- a/internal/placer/queue.go
+++ b/internal/placer/queue.go
@@ -9,57 +9,57 @@
 // service is the queue of one service and the agents that serve it.
 type service struct {
 	name            string
-	members         []*membership       // members has every agent that serves the service.
-	available       ranked[*membership] // seats has the members that can take a task now.
-	teams           ranked[*teamQueue]  // teams has the teams with waiting tasks that may start.
+	members         []*membership       // every agent that serves the service
+	available       ranked[*membership] // the members that can take a task now
+	teams           ranked[*teamQueue]  // teams with waiting tasks that are not throttled
 	queues          map[string]*teamQueue
-	virtualTime     time.Duration // virtual is the least slot time of a team that was served last.
-	credits         int           // credits is how many tasks this entry may have outstanding.
-	work            time.Duration // work is the expected run time of all tasks that wait.
-	outstandingWork time.Duration // sent is the expected run time of all tasks at agents.
-	waiting         int           // waiting is the number of tasks that wait.
-	bulk            int           // deep is the number of tasks of deep jobs that wait.
-	// used is the slot time of the tasks that have ended since usedSince, and
-	// throughput that of the window before, in slots.
+	virtualTime     time.Duration // virtual time of the latest team served, by which idle teams are advanced
+	credits         int           // number of tasks that this entry may have outstanding
+	work            time.Duration // expected run time of all queued tasks
+	outstandingWork time.Duration // expected run time of all outstanding tasks
+	waiting         int           // number of queued tasks
+	bulk            int           // number of queued tasks of bulk jobs
+	// slotTime is the run time of the tasks that ended since windowStart. throughput is
+	// the mean number of slots in use in the previous window.
 	slotTime    time.Duration
 	windowStart time.Time
 	throughput  float64
-	slotDivisor time.Duration // divisor is the number of slots that keys were last computed with.
+	slotDivisor time.Duration // number of slots with which job keys were last computed
 	learned     estimate
 }
 
-// teamQueue has the jobs of one team that wait for one service.
+// teamQueue holds the jobs of one team that wait for one service.
 type teamQueue struct {
 	team     *team
 	service  *service
-	position int // position is that in service.teams, -1 while nothing may start.
-	// used is the virtual slot time of the team in the service. A team that was
-	// idle does not save up.
+	position int // index in service.teams, -1 while no job may start
+	// virtualTime is the slot time charged to the team in the service. A team that was
+	// idle is advanced to the service's virtual time, so that it saves up nothing.
 	virtualTime time.Duration
-	round       int64 // class is used in units of the quantum.
+	round       int64 // virtualTime in whole quanta
 	jobs        ranked[*queuedJob]
 	work        time.Duration
 	waiting     int
-	bulk        int // deep is the part of waiting that is of deep jobs.
-	// throttled means that the queue is in Placer.throttled and not in service.teams.
+	bulk        int // number of the waiting tasks that belong to bulk jobs
+	// A throttled queue is in Placer.throttled and not in service.teams.
 	throttled bool
 }
 
 // queued is a job with waiting tasks.
 type queuedJob struct {
 	job      Job
-	waiting  []uint16 // waiting has the tasks to place, in order.
+	waiting  []uint16 // indices of the tasks to schedule, in order
 	work     time.Duration
-	total    time.Duration // total is work as it was when the job was enqueued.
+	total    time.Duration // work when the job was enqueued
 	arrived  time.Duration
-	key      time.Duration // key orders the jobs of a team; the least goes first.
+	key      time.Duration // orders the jobs of a team; the least goes first
 	sequence uint64
-	position int  // position is that in queue.jobs, -1 while none.
-	bulk     bool // deep means that tasks may wait beyond the credits.
+	position int  // index in queue.jobs, -1 while not in it
+	bulk     bool // whether tasks may wait at agents beyond the credits
 	queue    *teamQueue
 }
 
-// service returns the queue of a service, which it makes if there is none.
+// service returns the queue of a service and creates it if necessary.
 func (p *Placer) service(name string) *service {
 	if s := p.services[name]; s != nil {
 		return s
@@ -75,7 +75,7 @@
 	return s
 }
 
-// queueOf returns the queue of a team in a service.
+// queueOf returns the queue of a team in a service and creates it if necessary.
 func (p *Placer) queueOf(s *service, name string) *teamQueue {
 	if q := s.queues[name]; q != nil {
 		return q
@@ -88,8 +88,7 @@
 	return q
 }
 
-// turnBefore orders teams by used slot time in steps of the quantum, then by
-// their first jobs.
+// turnBefore orders teams by virtual time in whole quanta, then by their first jobs.
 func turnBefore(a, b *teamQueue) bool {
 	if a.round != b.round {
 		return a.round < b.round
@@ -104,7 +103,7 @@
 	return a.sequence < b.sequence
 }
 
-// add puts a job with waiting tasks into its team's queue.
+// addJob adds a job with waiting tasks to its team's queue.
 func (p *Placer) addJob(q *queuedJob) {
 	t := q.queue
 	if t.waiting == 0 {
@@ -118,7 +117,7 @@
 	p.updateTurn(t)
 }
 
-// count adjusts the numbers of waiting tasks and their work.
+// adjustCounts adjusts the numbers of waiting tasks and their work.
 func (p *Placer) adjustCounts(q *queuedJob, tasks int, work time.Duration) {
 	p.waiting += tasks
 	q.queue.waiting += tasks
@@ -131,8 +130,8 @@
 	}
 }
 
-// setKey computes the place of a job among its team's: the time that its waiting
-// work takes on all slots, later by what it has waited less.
+// setKey computes the key that orders a job among its team's: the expected time of its
+// waiting work on all slots, plus its arrival time weighted by Ageing.
 func (p *Placer) setKey(q *queuedJob) {
 	s := q.queue.service
 	s.slotDivisor = time.Duration(max(1, s.credits))
@@ -140,8 +139,8 @@
 	q.key = aged + q.work/s.slotDivisor
 }
 
-// share returns how many slots this entry can count on: its equal part of all, or
-// what it has used lately if that was more.
+// share returns how many slots this entry can count on: its equal share of all slots,
+// or its recent throughput if that was more.
 func (s *service) share(entries int) int {
 	n := 0
 	for _, m := range s.members {
@@ -152,10 +151,10 @@
 	return min(n, max(1, n/entries, int(s.throughput)))
 }
 
-// throughputWindow is how long ends are counted for a throughput.
+// throughputWindow is the period over which throughput is measured.
 const throughputWindow = time.Second
 
-// ended counts the end of a task.
+// ended updates the outstanding work and the throughput when a task ends.
 func (s *service) ended(now time.Time, expected, took time.Duration) {
 	s.outstandingWork -= expected
 	s.slotTime += took
@@ -166,7 +165,8 @@
 	}
 }
 
-// returnTurn puts a team into the order of its service, or moves it there.
+// updateTurn adds a team to the order of its service, moves it there, or removes it if
+// it has no jobs.
 func (p *Placer) updateTurn(t *teamQueue) {
 	switch {
 	case len(t.jobs.items) == 0:
@@ -181,7 +181,7 @@
 	}
 }
 
-// takeOut removes a job that is in its team's queue.
+// removeJob removes a job from its team's queue.
 func (p *Placer) removeJob(q *queuedJob) {
 	if q.position >= 0 {
 		q.queue.jobs.remove(q.position)
@@ -189,7 +189,7 @@
 	p.updateTurn(q.queue)
 }
 
-// charge adds slot time to a team's account.
+// charge adds slot time to a team's virtual time and updates the team's turn.
 func (p *Placer) charge(t *teamQueue, d time.Duration) {
 	p.use(t, d)
 	if t.position >= 0 {
@@ -197,14 +197,15 @@
 	}
 }
 
-// use adds slot time to a team's account. The debt is bounded, so that a team
-// which was alone with much work is not shut out once others come.
+// use adds slot time to a team's virtual time. Its lead over the service's virtual time
+// is bounded by MaxDebt, so that a team that was alone with much work is not starved
+// when other teams arrive.
 func (p *Placer) use(t *teamQueue, d time.Duration) {
 	t.virtualTime = min(t.virtualTime+d, max(t.virtualTime, t.service.virtualTime+p.limits.MaxDebt))
 	t.round = int64(t.virtualTime / p.limits.Quantum)
 }
 
-// workOf returns the expected run time of tasks of a job.
+// workOf returns the total expected run time of the given tasks of a job.
 func (s *service) workOf(j *Job, tasks []uint16) time.Duration {
 	var sum time.Duration
 	for _, index := range tasks {
@@ -213,8 +214,8 @@
 	return sum
 }
 
-// longestFirst returns the tasks of a job, those expected to take longest first,
-// so that a long one is not left for the end.
+// longestFirst returns the tasks of a job by descending expected run time, so that a
+// long task does not start last and prolong the job.
 func (s *service) longestFirst(j *Job) []uint16 {
 	tasks := slices.Clone(j.Tasks)
 	slices.SortStableFunc(tasks, func(a, b uint16) int {
@@ -223,5 +224,5 @@
 	return tasks
 }
 
-// front puts a task before the others of a job.
+// prepend puts a task before the other waiting tasks of a job.
 func (q *queuedJob) prepend(index uint16) { q.waiting = slices.Insert(q.waiting, 0, index) }
--- a/internal/placer/rank.go
+++ b/internal/placer/rank.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// rank returns the work by which an agent orders the starts of a job that wait
-// there, the least first: how long the job takes on all slots.
+// startRank returns the value by which an agent orders the starts of a job that wait
+// there, the least first: the expected time of the job's work on all slots.
 //
-// A deep job comes nearer to the front as it goes on, so that of several that wait
-// at the same agents the first is ended first. It does not overtake what is small.
-// The starts of a team that floods yield: its later tasks wait for long at the entry
-// in any case, and whoever else has a task at the agent would wait behind them.
+// The rank of a bulk job falls as its tasks are sent, so that of several bulk jobs at
+// the same agents the first one completes first. It keeps a quarter of the total work,
+// so that a bulk job does not overtake small jobs. The starts of a team that overloads
+// the service rank later: the team's remaining tasks wait long at the entry anyway, and
+// tasks of other teams at the agent would wait behind them.
 func (p *Placer) startRank(q *queuedJob) time.Duration {
 	work := q.total
 	if q.bulk {
@@ -21,7 +22,8 @@
 	return rank
 }
 
-// floods reports whether a team has more work waiting than all credits do in a time.
+// overloads reports whether a team has more work waiting than all credits can run in
+// OverloadWork.
 func (p *Placer) overloads(t *teamQueue) bool {
 	return t.work/t.service.slotDivisor > p.limits.OverloadWork
 }
--- a/internal/placer/ranked.go
+++ b/internal/placer/ranked.go
@@ -1,22 +1,21 @@
 package placer
 
-// ranked is a binary heap whose members know their position, so that one member
-// can be moved or removed in logarithmic time. The function fields say which
-// member goes first and record a member's position, -1 for none.
+// ranked is a binary heap whose items know their position, so that one item can be
+// moved or removed in logarithmic time. before defines the order. moved is called with
+// an item's new position, or -1 when the item is removed.
 type ranked[T any] struct {
 	items  []T
 	before func(a, b T) bool
 	moved  func(item T, position int)
 }
 
-// push adds an item.
 func (r *ranked[T]) push(item T) {
 	r.items = append(r.items, item)
 	r.moved(item, len(r.items)-1)
 	r.up(len(r.items) - 1)
 }
 
-// remove takes out the item at a position.
+// remove removes the item at a position.
 func (r *ranked[T]) remove(position int) {
 	last := len(r.items) - 1
 	r.moved(r.items[position], -1)
--- a/internal/placer/refusal.go
+++ b/internal/placer/refusal.go
@@ -7,8 +7,9 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// admit says whether a job may enter the queue. What it refuses could not end in
-// time or could never run; the caller learns it at once.
+// admit decides whether a job may enter the queue. It refuses a job that exceeds the
+// queue's limit, would miss its deadline or can never run, so that the caller learns of
+// it immediately.
 func (p *Placer) admit(now time.Time, s *service, j *Job) Refusal {
 	if p.Queued()+len(j.Tasks) > p.limits.MaxQueued {
 		return Refusal{
@@ -30,7 +31,8 @@
 	return p.admitByTime(now, s, j)
 }
 
-// admitByTime refuses a job whose deadline the queue or the quota makes it miss.
+// admitByTime refuses a job that would miss its deadline because of the queue or the
+// team's quota.
 func (p *Placer) admitByTime(now time.Time, s *service, j *Job) Refusal {
 	if j.Deadline.IsZero() {
 		return Refusal{}
@@ -47,7 +49,7 @@
 		}
 	}
 	if s.waiting == 0 {
-		// An idle service may be tried: declared run times are often far off.
+		// An idle service admits the job: declared run times are often far off.
 		return Refusal{}
 	}
 	slots := s.share(p.entries)
@@ -71,8 +73,9 @@
 	return min(max(excess, minRetryAfter), maxRetryAfter).Round(time.Millisecond)
 }
 
-// workAhead returns the waiting work that may start before a new job of a team:
-// the team's own, and of each other team at most as much, since teams take turns.
+// workAhead returns the waiting work that may start before a new job of a team: the
+// team's own work and, since teams take turns, at most as much of each other team, or
+// the mean over all teams if that is more.
 func (s *service) workAhead(t *teamQueue) time.Duration {
 	if len(s.queues) == 1 || t.waiting == s.waiting {
 		return t.work
@@ -87,7 +90,8 @@
 	return ahead
 }
 
-// quotaWait returns how long the team's quota makes a new job take.
+// quotaWait returns the time that the team's quota makes a new job take, and whether
+// the team has a quota.
 func (t *teamQueue) quotaWait(work time.Duration, tasks int) (time.Duration, bool) {
 	var wait time.Duration
 	if t.team.slots > 0 {
@@ -116,8 +120,8 @@
 	return false
 }
 
-// firstThatNeverFits returns the first task that no known upstream can hold even
-// when it runs alone, or -1.
+// firstThatNeverFits returns the index of the first task that no known upstream has the
+// memory and accelerators for, even if it runs alone, or -1.
 func (s *service) firstThatNeverFits(j *Job) int {
 	var most Requirements
 	for i := range j.Requirements {
@@ -136,8 +140,9 @@
 	return -1
 }
 
-// corrected returns a need with the memory that the service's tasks usually take.
-// The margin of what is learned is left out: it must not refuse what has run.
+// corrected returns requirements with the memory that the service's tasks usually take.
+// It leaves out the margin that reservations add, so that no task is refused that has
+// run before.
 func (s *service) corrected(n Requirements) Requirements {
 	n.MemoryBytes = s.learned.meanPeakMemory(n.MemoryBytes)
 	return n
@@ -153,7 +158,7 @@
 	return false
 }
 
-// neverFits refuses a job because no known upstream can hold one of its tasks.
+// neverFits refuses a job because no known upstream can ever run one of its tasks.
 func neverFits(index int) Refusal {
 	return Refusal{
 		Reason: submitter.ReasonNeverFits,
--- a/internal/placer/script_test.go
+++ b/internal/placer/script_test.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// scriptBench drives one placer with the lines of a script.
+// scriptBench runs the lines of a script against one placer.
 type scriptBench struct {
 	t   *testing.T
 	p   *Placer
@@ -79,7 +79,7 @@
 	}
 }
 
-// dispatch writes what is placed.
+// dispatch writes the assignments of one dispatch.
 func (b *scriptBench) dispatch() {
 	for _, a := range b.p.Dispatch(b.now) {
 		fmt.Fprintf(&b.out, "  to %s: job %d tasks %v\n", a.Agent, a.Submission[15], a.Tasks)
--- a/internal/placer/status.go
+++ b/internal/placer/status.go
@@ -7,30 +7,29 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// Hold says that an operator keeps an upstream from new work. The empty hold
-// lets it work.
+// Hold is an operator's order that keeps an upstream from getting new tasks. The empty
+// hold allows them.
 type Hold string
 
 // The holds.
 const (
-	HoldDrained Hold = "drained" // The upstream finishes what runs and gets nothing new.
-	HoldEjected Hold = "ejected" // The upstream is taken out as if it had failed.
+	HoldDrained Hold = "drained" // The upstream completes its running tasks and gets no new ones.
+	HoldEjected Hold = "ejected" // The upstream gets no new tasks, as if the placer had ejected it.
 )
 
-// UpstreamStatus is what a placer tells about one agent and its upstream.
+// UpstreamStatus is the status of one agent and its upstream.
 type UpstreamStatus struct {
 	Peer     messenger.Peer
 	Location Location
 	Capacity messenger.Capacity
-	// Credit is the number of tasks that this entry may have outstanding there;
-	// Outstanding is the number that it has.
+	// Credit is the number of tasks that this entry may have outstanding at the agent,
+	// and Outstanding the number that it has.
 	Credit, Outstanding int
 	Hold                Hold
 	Health              HealthState
-	// Ejected is why the placer has ejected the upstream by itself; empty if it has
-	// not.
+	// EjectReason is empty unless the placer itself has ejected the upstream.
 	EjectReason EjectReason
-	// FailureRatio is the recent share of failures.
+	// FailureRatio is the recent share of failures, from 0 to 1.
 	FailureRatio float64
 }
 
@@ -66,7 +65,7 @@
 	}
 }
 
-// ejected returns why the agent is ejected or probed, or "".
+// ejected returns the reason why the agent is ejected or being probed, or "".
 func (h *health) ejected() EjectReason {
 	if h.state == stateEjected || h.state == stateProbing {
 		return h.reason
--- a/internal/placer/team.go
+++ b/internal/placer/team.go
@@ -8,20 +8,20 @@
 // Quota bounds a team's use of all entries together. Zero fields bound nothing.
 type Quota struct {
 	Team            string
-	Slots           int     // Slots bounds the running tasks.
-	StartsPerSecond float64 // StartsPerSecond bounds the starts.
+	Slots           int     // maximum of running tasks
+	StartsPerSecond float64 // maximum rate of starts
 }
 
-// team is what the placer keeps of a team over all services.
+// team is the state of a team's quota over all services.
 type team struct {
 	name    string
-	running int // running counts the team's tasks that this entry has outstanding.
+	running int // number of the team's tasks that this entry has outstanding
 	// slots is this entry's share of the quota; 0 means no bound.
 	slots int
 	// rate is this entry's share of the starts a second; 0 means no bound.
 	rate       float64
-	tokens     float64   // tokens is the number of starts that are allowed now.
-	refilledAt time.Time // filled is when tokens was last computed.
+	tokens     float64   // number of starts allowed now
+	refilledAt time.Time // when tokens was last updated
 	queues     []*teamQueue
 }
 
@@ -31,11 +31,11 @@
 	p.shareQuotas()
 }
 
-// SetEntries sets the number of entries that share the quotas. Each takes an
-// equal share, rounded up. Over all entries a team can thus exceed its quota of
-// slots by at most one less than the number of entries, its starts by as many a
-// second, and both by what an entry that does not know of a new one still has
-// outstanding.
+// SetEntries sets the number of entries that share the quotas. Each entry gets an
+// equal share, of slots rounded up. Over all entries, a team can thus exceed its quota
+// of slots by up to the number of entries less one, and its quota of starts by as many
+// a second. It can exceed both further by the outstanding tasks of an entry that has not
+// yet learned of a new entry.
 func (p *Placer) SetEntries(n int) {
 	p.entries = max(1, n)
 	p.shareQuotas()
@@ -54,7 +54,7 @@
 	}
 }
 
-// team returns the account of a team, which it makes if there is none.
+// team returns the quota state of a team and creates it if necessary.
 func (p *Placer) team(name string) *team {
 	if t := p.teams[name]; t != nil {
 		return t
@@ -79,10 +79,10 @@
 	return t.tokens >= 1
 }
 
-// burst is the number of starts that an idle team saves up.
+// burst is the maximum of tokens: the starts that an idle team saves up.
 func (t *team) burst() float64 { return max(1, t.rate/4) }
 
-// take counts one start.
+// countStart counts one start against the quota.
 func (t *team) countStart() {
 	t.running++
 	if t.rate > 0 {
@@ -90,11 +90,11 @@
 	}
 }
 
-// freeQuota counts the end of a task of a team.
+// countEnd releases a team's quota of one running task.
 func countEnd(q *teamQueue) { q.team.running-- }
 
-// returnThrottled puts the teams whose quota allows a start again back into the
-// order of their services.
+// returnThrottled puts throttled teams back into the order of their services once their
+// quota allows a start.
 func (p *Placer) returnThrottled(now time.Time) {
 	kept := p.throttled[:0]
 	for _, t := range p.throttled {
