--- a/internal/assigner/agent.go
+++ b/internal/assigner/agent.go
@@ -14,27 +14,27 @@
 	peer          messenger.Peer
 	instance      string
 	dataCentre    string
-	position      int // at is the place in the order of agents.
+	position      int // index in Assigner.order and Assigner.spareCPU
 	load          messenger.Load
-	loadKnown     bool               // known means that the agent has told its load.
-	lastReceived  time.Duration      // heardAt is when the latest frame came.
-	lastClock     time.Duration      // clock is the latest stamp of the agent.
-	lastEcho      time.Duration      // echoed is the latest stamp of the agent that it was sent back.
-	lastSent      time.Duration      // sentAt is when the latest frame was sent.
-	idleSince     time.Duration      // emptyAt is when the last task there ended.
-	leftIdleAt    time.Duration      // wokenAt is when a task was launched there after a rest.
-	firstLaunchAt time.Duration      // filledAt is when a task was launched there while there was none.
-	sent          uint64             // sent counts the launches on the connection.
-	unreported    []unreportedLaunch // ahead has the launches that the load does not cover yet.
+	loadKnown     bool               // whether the agent has reported its load
+	lastReceived  time.Duration      // when the latest frame was received
+	lastClock     time.Duration      // the agent's clock in its latest stamp
+	lastEcho      time.Duration      // the agent's clock in the latest echo sent to it
+	lastSent      time.Duration      // when the latest frame was sent
+	idleSince     time.Duration      // when the latest task there ended
+	leftIdleAt    time.Duration      // when a task was last launched there while it was idle
+	firstLaunchAt time.Duration      // when a task was last launched there while it had none
+	sent          uint64             // number of launches on the connection
+	unreported    []unreportedLaunch // launches that the reported load does not include yet
 	tasks         map[messenger.TaskRef]*task
 	launches      []messenger.Launch
 	withdraws     []messenger.Withdraw
 }
 
-// spare returns what is not occupied of the capacity, in thousandths of a core.
+// spareCPU returns the capacity that is not occupied, in thousandths of a core.
 func (g *agent) spareCPU() int64 { return g.load.Capacity.MilliCPU - g.occupied().MilliCPU }
 
-// index notes where each agent stands in their order.
+// updatePositions updates each agent's position and the spare CPU by position.
 func (a *Assigner) updatePositions() {
 	a.spareCPU = a.spareCPU[:0]
 	for i, g := range a.order {
@@ -43,7 +43,7 @@
 	}
 }
 
-// ahead is the room of one launch.
+// unreportedLaunch holds the resources of a launch.
 type unreportedLaunch struct {
 	sequence  uint64
 	resources messenger.Resources
@@ -54,8 +54,8 @@
 	return slices.SortedFunc(maps.Values(g.tasks), func(x, y *task) int { return x.ref.Compare(y.ref) })
 }
 
-// AgentUp takes the connection of an agent. Nothing that it ran for this entry before
-// is left.
+// AgentUp applies the connection of an agent. The agent has stopped all earlier runs for
+// this entry before it connects.
 func (a *Assigner) AgentUp(now time.Duration, peer messenger.Peer, instance, dataCentre string) {
 	if old := a.agents[peer]; old != nil {
 		a.AgentDown(now, peer)
@@ -83,8 +83,8 @@
 	a.logDecision(Decision{Event: "agent-connected", Instance: instance})
 }
 
-// AgentDown takes the end of an agent's connection. What ran there may still be at
-// work for a while.
+// AgentDown applies the end of an agent's connection. Its tasks may still run until its
+// lease expires.
 func (a *Assigner) AgentDown(now time.Duration, peer messenger.Peer) {
 	g := a.agents[peer]
 	if g == nil {
@@ -106,7 +106,8 @@
 	a.departed = append(a.departed, d)
 }
 
-// resolveDeparted places anew what has certainly ended.
+// resolveDeparted reschedules the tasks of departed agents whose lease has expired, so
+// that their runs have ended.
 func (a *Assigner) resolveDeparted(now time.Duration) {
 	var due []departedAgent
 	a.departed = slices.DeleteFunc(a.departed, func(d departedAgent) bool {
@@ -125,7 +126,8 @@
 	}
 }
 
-// resolve takes the end of a run that was not completed.
+// endRun applies the end of a run that did not complete, and reschedules the task unless
+// the job is answered.
 func (a *Assigner) endRun(now time.Duration, t *task, ran bool) {
 	j := t.job
 	j.running--
@@ -138,7 +140,7 @@
 	a.makePending(t)
 }
 
-// checkAgents closes the connections of agents that are silent.
+// checkAgents closes the connections of agents that exceed the liveness timeout.
 func (a *Assigner) checkAgents(now time.Duration) {
 	for _, g := range slices.Clone(a.order) {
 		if a.silence(now, g) > a.limits.LivenessTimeout {
@@ -149,31 +151,35 @@
 	}
 }
 
-// wakeSlack is how long the first task after a rest may wait at its agent: returnAfter,
-// and what clocks that differ by 2% drift apart in a rest of 2 s, with a margin.
+// wakeMargin is the longest time that the first task after an idle period may wait at its
+// agent: maxAgentWait, plus the drift of clocks that differ by 2% over an idle period of
+// 2 s, plus a margin.
 const wakeMargin = 100 * time.Millisecond
 
-// rested reports whether an agent has had no task for a time.
+// idle reports whether an agent has had no task for at least the duration.
 func (a *Assigner) idle(now time.Duration, g *agent, d time.Duration) bool {
 	return len(g.tasks) == 0 && now-g.idleSince >= d
 }
 
-// silence returns for how long an agent has been silent that should not be.
+// silence returns the time since the agent's latest frame, less the longer heartbeat
+// interval that it may use while it is idle.
 func (a *Assigner) silence(now time.Duration, g *agent) time.Duration {
 	silence := now - max(g.lastReceived, g.leftIdleAt)
-	// The agent begins its rest later or earlier than the entry, by the way of a frame.
+	// The agent's idle period begins earlier or later than the entry's view of it, by the
+	// latency of a frame, so half of the threshold is used here.
 	if a.idle(now, g, a.limits.IdleThreshold/2) {
 		silence -= a.limits.IdleHeartbeatInterval
 	}
 	return silence
 }
 
-// doubtful reports whether an agent has been silent for so long that nothing is sent to it.
+// suspect reports whether an agent exceeds the suspicion timeout, so that no task is
+// launched there.
 func (a *Assigner) suspect(now time.Duration, g *agent) bool {
 	return a.silence(now, g) > a.limits.SuspicionTimeout
 }
 
-// Receive takes a frame of an agent.
+// Receive applies a frame from an agent.
 func (a *Assigner) Receive(now time.Duration, peer messenger.Peer, f *messenger.Frame) {
 	g := a.agents[peer]
 	if g == nil {
@@ -203,7 +209,7 @@
 	g.unreported = slices.DeleteFunc(g.unreported, func(h unreportedLaunch) bool { return h.sequence <= l.LaunchesReceived })
 }
 
-// ended takes the end of a run.
+// applyEnd applies the end of a run that an agent reports.
 func (a *Assigner) applyEnd(now time.Duration, g *agent, e *messenger.End) {
 	t := g.tasks[e.Task]
 	if t == nil || t.run != e.Run {
@@ -236,7 +242,8 @@
 	a.endRun(now, t, ran)
 }
 
-// failed counts a failure and reports whether it was the task's last.
+// countFailure counts a failed attempt. If the attempts are used up, it fails the job
+// and returns true.
 func (a *Assigner) countFailure(now time.Duration, t *task) bool {
 	t.failures++
 	j := t.job
@@ -250,7 +257,7 @@
 	return true
 }
 
-// done completes a task, and its job with the last one.
+// completeTask marks a task as done and completes its job if no task is left.
 func (a *Assigner) completeTask(now time.Duration, t *task) {
 	j := t.job
 	j.running--
--- a/internal/assigner/assigner.go
+++ b/internal/assigner/assigner.go
@@ -1,18 +1,18 @@
-// Package assigner decides what an entry does with ephemeral jobs: jobs that need
-// not be kept, whose caller waits for the end on an open connection.
+// Package assigner decides what an entry does with ephemeral jobs: jobs that are not
+// stored and whose caller waits for the result on an open connection.
 //
-// The entry that reads such a job owns it until its answer. The [Assigner] holds
-// the jobs, their tasks, and what agents have said of their upstreams. It places
-// each task at the upstream that is expected to end it first, keeps what fits
-// nowhere in the order of urgency, rejects what cannot end in time, and places
-// anew what did not start, stood still or was lost.
+// The entry that receives such a job owns it until its answer. The [Assigner] holds
+// the jobs, their tasks, and the load that agents report for their upstreams. It
+// schedules each task on the upstream that is expected to complete it first and keeps
+// the tasks that fit nowhere ordered by urgency. It rejects jobs that cannot complete
+// in time, and reschedules tasks that did not start, stalled or were lost.
 //
-// A task is never placed while an earlier run of it may be at work: its end was
-// reported, or its agent was away for long enough to have stopped it, or the
-// agent is back, which it is only after it has stopped what was left.
+// A task is never scheduled while an earlier run of it may still be running. A run has
+// ended when its agent reports the end, when the agent's lease has expired, or when the
+// agent has reconnected, since an agent stops its remaining runs before it reconnects.
 //
-// An [Assigner] is given events and the time, and does nothing but to return what
-// must be done. Times are durations on the process's clock.
+// An [Assigner] does no I/O: its callers pass in events with their time, and it returns
+// the actions to perform. Times are durations on the process's clock.
 package assigner
 
 import (
@@ -25,53 +25,53 @@
 
 // Limits are the settings of an assigner.
 type Limits struct {
-	// Gone is how long after it was last heard an agent has certainly stopped
-	// everything that it ran for this entry.
+	// LeaseExpiry is the longest time that a run for this entry can outlive the last
+	// contact with its agent.
 	LeaseExpiry time.Duration
-	// Doubt is how long an agent may be silent until nothing more is sent to it.
+	// SuspicionTimeout is the time of silence after which no task is launched at an agent.
 	SuspicionTimeout time.Duration
-	// Silence is how long an agent may be silent until its connection is closed.
+	// LivenessTimeout is the time of silence after which an agent's connection is closed.
 	LivenessTimeout time.Duration
-	// BeatEvery is the longest time between two frames to an agent.
+	// HeartbeatInterval is the longest time between two frames to an agent.
 	HeartbeatInterval time.Duration
-	// RestBeat is that time for an agent that has had no task for RestAfter. It may be
-	// silent for as much longer.
+	// IdleHeartbeatInterval extends the heartbeat interval of an agent that has had no
+	// task for IdleThreshold, and its suspicion and liveness timeouts.
 	IdleHeartbeatInterval time.Duration
 	IdleThreshold         time.Duration
-	// AnswerSlack is how long before its deadline a job is given up, so that the
-	// answer reaches the caller.
+	// AnswerMargin is the time before a caller's timeout at which its job is abandoned,
+	// so that the answer still reaches the caller.
 	AnswerMargin time.Duration
-	// Remote is the time that the way to another data centre takes.
+	// CrossDataCentreLatency is the added latency to an upstream in another data centre.
 	CrossDataCentreLatency time.Duration
 }
 
-// Step is a set of equal tasks.
+// Step is a set of tasks with equal requirements.
 type Step struct {
 	Count           int
 	Resources       messenger.Resources
-	DeclaredRunTime time.Duration // Declared is how long the caller expects a task to run.
-	After           []int         // After has the steps whose tasks must be done first.
-	Label           string        // Label must be one of the upstream's, unless it is empty.
-	Rack            string        // Rack is the label of the rack that has the data, if any.
-	MaxPerUpstream  int           // MaxPerUpstream bounds the tasks that run at one upstream; 0 does not.
+	DeclaredRunTime time.Duration // run time of a task that the caller expects
+	After           []int         // indices of the steps that must be done first
+	Label           string        // label that the upstream must have; empty if none is required
+	Rack            string        // label of the preferred rack, which has the data; empty if there is none
+	MaxPerUpstream  int           // maximum of tasks at one upstream; 0 means no limit
 }
 
 // Job is an ephemeral job.
 type Job struct {
-	ID               string // ID names the job at the upstreams as well.
-	Queue            string // Queue names the kind of job, for what is learned and for logs.
+	ID               string // identifies the job at the upstreams as well
+	Queue            string // kind of job, by which run times are estimated and jobs are logged
 	Service          string
 	Payload          string
-	Priority         int // Priority is that of the queue; 0 comes first.
+	Priority         int // of the queue; 0 comes first
 	Steps            []Step
-	SlowdownFactor   float64       // Stretch is how often a job may take its longest chain of work.
-	LatencyAllowance time.Duration // Allowance is what it may take besides.
-	CallerTimeout    time.Duration // Patience is how long the caller waits.
-	MaxAttempts      int           // MaxAttempts is how often a task may fail.
-	Ticket           uint64        // Ticket names the caller's request; each request has its own.
+	SlowdownFactor   float64       // allowed slowdown relative to the expected run time of the longest chain of steps
+	LatencyAllowance time.Duration // fixed allowance in addition to it
+	CallerTimeout    time.Duration // how long the caller waits for the answer
+	MaxAttempts      int           // number of failures of one task that fails the job
+	Ticket           uint64        // identifies the caller's request; unique for each request
 }
 
-// Outcome says how a job was answered.
+// Outcome is the result with which a job is answered.
 type Outcome string
 
 // The outcomes.
@@ -89,28 +89,28 @@
 	Job        string
 	Queue      string
 	Outcome    Outcome
-	Reason     string        // Reason is in kebab case.
-	RetryAfter time.Duration // RetryAfter is when a rejected caller may come back.
+	Reason     string        // in kebab case
+	RetryAfter time.Duration // delay after which a rejected caller may retry
 	Took       time.Duration
-	Launched   bool          // Launched means that a task was sent to an agent.
-	Waited     time.Duration // Waited is the time until then, or until the answer.
+	Launched   bool          // whether a task was sent to an agent
+	Waited     time.Duration // time until the first launch, or until the answer if there was none
 }
 
-// Decision is a decision that is worth a line in the log.
+// Decision is a decision to be logged.
 type Decision struct {
-	Event    string // Event is in kebab case.
+	Event    string // in kebab case
 	Task     messenger.TaskRef
 	Run      uint64
-	Instance string // Instance is the agent's instance.
+	Instance string // the agent's instance
 	Reason   string
-	Wait     time.Duration // Wait is the time that the task is expected to wait.
-	Age      time.Duration // Age is that of what was known of the agent.
+	Wait     time.Duration // time that the task is expected to wait at the agent
+	Age      time.Duration // time since the agent's latest frame; for task-ended, the run time
 }
 
-// Output is what the caller must do.
+// Output holds the actions that the caller must perform.
 type Output struct {
 	Sends     []Send
-	Closes    []messenger.Peer // Closes are agents whose connection must be closed.
+	Closes    []messenger.Peer // agents whose connections must be closed
 	Answers   []Answer
 	Decisions []Decision
 }
@@ -121,42 +121,42 @@
 	Frame *messenger.Frame
 }
 
-// Assigner is the state of one entry.
+// Assigner is the scheduling state of one entry.
 type Assigner struct {
 	limits        Limits
 	dataCentre    string
 	random        *rand.Rand
 	agents        map[messenger.Peer]*agent
-	order         []*agent // order has the agents in a fixed order.
-	spareCPU      []int64  // spares has what is not occupied at each of them, in thousandths of a core.
+	order         []*agent // ordered by instance
+	spareCPU      []int64  // spare CPU of each agent in order, in thousandths of a core
 	jobs          map[string]*job
-	pending       []*task // pending has the tasks that are ready and not placed.
-	unscheduled   []*task // missed has the tasks that found no room in the pass.
-	unsorted      bool    // unsorted means that pending is not in the order of urgency.
+	pending       []*task // tasks that are ready and not scheduled
+	unscheduled   []*task // tasks for which the current pass found no capacity
+	unsorted      bool    // whether pending must be sorted by urgency
 	departed      []departedAgent
 	queues        map[string]*queue
-	entries       int           // entries is the number of entries that share the upstreams, with this one.
-	meanRun       time.Duration // meanRun is the mean run time of recent tasks.
-	lacksCapacity bool          // short means that tasks that can be in time have found no room.
-	serving       bool          // serving means that an upstream was usable when it was last looked at.
-	servingAt     time.Duration // servingAt is when the first upstream became usable.
-	outageAt      time.Duration // outageAt is when the last upstream became unusable.
-	// rejectingAt is when the first of the latest jobs was rejected, with no lull since, and
-	// rejectedAt when the last was.
+	entries       int           // number of entries that share the upstreams, including this one
+	meanRun       time.Duration // mean run time of recent tasks
+	lacksCapacity bool          // whether the latest pass left tasks that can still be in time without capacity
+	serving       bool          // whether an upstream was usable at the latest check
+	servingAt     time.Duration // when the first upstream became usable
+	outageAt      time.Duration // when the last upstream became unusable
+	// rejectingAt is the start of the current overload: the first rejection that was not
+	// followed by a pause of overloadGap. rejectedAt is the latest rejection.
 	rejectingAt, rejectedAt time.Duration
 	closing                 bool
 	out                     Output
 }
 
-// departure has tasks at an agent that is away, which may still run.
+// departedAgent holds the tasks of a disconnected agent, which may still run.
 type departedAgent struct {
 	instance    string
-	leaseExpiry time.Duration // until is when they have certainly ended.
+	leaseExpiry time.Duration // when the runs have ended
 	tasks       []*task
 }
 
-// New returns an assigner for an entry in a data centre. The random numbers spread
-// tasks over equal upstreams and callers over time.
+// New returns an assigner for an entry in a data centre. The random numbers spread tasks
+// over equal upstreams and the retries of callers over time.
 func New(l Limits, dataCentre string, random *rand.Rand) *Assigner {
 	return &Assigner{
 		limits:     l,
@@ -170,10 +170,10 @@
 	}
 }
 
-// SetEntries takes the number of entries that share the upstreams, with this one.
+// SetEntries sets the number of entries that share the upstreams, including this one.
 func (a *Assigner) SetEntries(n int) { a.entries = n }
 
-// Counts returns the number of jobs without an answer and of tasks that wait.
+// Counts returns the number of jobs without an answer and of pending tasks.
 func (a *Assigner) Counts() (jobs, pending int) {
 	for _, j := range a.jobs {
 		if !j.answered {
@@ -183,8 +183,8 @@
 	return jobs, len(a.pending)
 }
 
-// Room returns the capacity of the upstreams that are ready, and what is in use or
-// asked for there.
+// Resources returns the capacity of the upstreams that are ready, and the resources in
+// use or requested there.
 func (a *Assigner) Resources() (capacity, used messenger.Resources) {
 	for _, g := range a.order {
 		if g.loadKnown && g.load.State == messenger.RunnerReady {
@@ -195,13 +195,13 @@
 	return capacity, used
 }
 
-// StateCount is how many upstreams are in a state.
+// StateCount is the number of upstreams in a state.
 type StateCount struct {
 	State messenger.RunnerState
 	Count int
 }
 
-// States returns how many upstreams are in each state.
+// States returns the number of upstreams in each state.
 func (a *Assigner) States() []StateCount {
 	counts := []StateCount{
 		{State: messenger.RunnerAbsent}, {State: messenger.RunnerReady}, {State: messenger.RunnerSuspect},
@@ -217,7 +217,8 @@
 	return counts
 }
 
-// Waiting returns the number of a queue's jobs of which no task was launched.
+// WaitingJobs returns the number of unanswered jobs of a queue for which no task was
+// launched.
 func (a *Assigner) WaitingJobs(queue string) int {
 	n := 0
 	for _, j := range a.jobs {
@@ -236,7 +237,7 @@
 	})
 }
 
-// watch notes when the last upstream became unusable.
+// updateServing records when upstreams become usable and when the last becomes unusable.
 func (a *Assigner) updateServing(now time.Duration) {
 	serving := a.Serving(now)
 	if a.serving && !serving {
@@ -249,18 +250,18 @@
 	a.serving = serving
 }
 
-// settleAfter is how long after the first usable upstream others may still connect: agents
-// dial an entry within some 200 ms of its start.
+// settleTime is the time after the first usable upstream in which others may still
+// connect: agents dial an entry within some 200 ms of its start.
 const settleTime = 300 * time.Millisecond
 
-// settling reports whether only a part of the upstreams may be known, so that what they
-// cannot do says little.
+// settling reports whether only a part of the upstreams may have connected, so that a
+// lack of capacity is no reason to reject jobs.
 func (a *Assigner) settling(now time.Duration) bool {
 	return a.serving && now-a.servingAt < settleTime
 }
 
-// outage returns for how long no upstream has been usable: 0 if one is, or if none has
-// been so far. An outage is expected to last for as long again.
+// outage returns the time since the last upstream became unusable. It is 0 if an upstream
+// is usable, or if none has been so far. An outage is expected to last for as long again.
 func (a *Assigner) outage(now time.Duration) time.Duration {
 	if a.serving || a.outageAt == 0 {
 		return 0
@@ -268,7 +269,8 @@
 	return now - a.outageAt
 }
 
-// Take returns what must be done since the last call.
+// Advance applies the timers that are due, schedules pending tasks, and returns the
+// actions to perform since the last call.
 func (a *Assigner) Advance(now time.Duration) Output {
 	a.checkAgents(now)
 	a.updateServing(now)
--- a/internal/assigner/assigner_test.go
+++ b/internal/assigner/assigner_test.go
@@ -16,27 +16,27 @@
 	HeartbeatInterval: time.Hour, AnswerMargin: 30 * time.Millisecond, CrossDataCentreLatency: 3 * time.Millisecond,
 }
 
-// TestScripts runs the scripts of the data files. Each line is an event; the output
-// is what the assigner asks for after it.
+// TestScripts runs the scripts in testdata. Each line of a script is an event, and the
+// output lists the actions that the assigner returns after it.
 //
 //	at TIME                                  sets the time
 //	up INSTANCE [LIFE]                       connects an agent
 //	down INSTANCE                            ends its connection
 //	load INSTANCE STATE CAPACITY USED [PACE [LABEL]] reports its upstream's load
-//	beat INSTANCE...                         a frame with nothing but a stamp
+//	beat INSTANCE...                         delivers a heartbeat: a frame with only a stamp
 //	submit ID TICKET TASKS CPU DECLARED [PRIORITY [LABEL]]
 //	end INSTANCE ID/INDEX RUN KIND
-//	leave ID TICKET                          the caller leaves
+//	leave ID TICKET                          ends the caller's connection
 //	cancel ID
 //	entries N                                sets the number of entries
-//	rests                                    sets how long an agent may rest, before all else
+//	rests                                    enables idle heartbeats; must come first
 //	close
 //	give-up
 func TestScripts(t *testing.T) {
 	scripter.Run(t, "testdata/*.txtar", func(t *testing.T, lines []scripter.Line) string {
 		s := &script{
 			t: t, assigner: New(testLimits, "dc-1", rand.New(rand.NewPCG(1, 1))),
-			lives: make(map[string]string), seen: make(map[string]uint64), peers: make(map[string]int),
+			incarnations: make(map[string]string), launchesSeen: make(map[string]uint64), connections: make(map[string]int),
 		}
 		for _, l := range lines {
 			s.line(l)
@@ -46,17 +46,17 @@
 }
 
 type script struct {
-	t        *testing.T
-	assigner *Assigner
-	now      time.Duration
-	out      strings.Builder
-	lives    map[string]string
-	seen     map[string]uint64
-	peers    map[string]int
+	t            *testing.T
+	assigner     *Assigner
+	now          time.Duration
+	out          strings.Builder
+	incarnations map[string]string
+	launchesSeen map[string]uint64
+	connections  map[string]int
 }
 
 func (s *script) peer(instance string) messenger.Peer {
-	return messenger.Peer(fmt.Sprintf("%s.%d", instance, s.peers[instance]))
+	return messenger.Peer(fmt.Sprintf("%s.%d", instance, s.connections[instance]))
 }
 
 func (s *script) line(l scripter.Line) {
@@ -66,8 +66,8 @@
 	case "at":
 		s.now = scripter.Duration(s.t, a[0])
 	case "up":
-		s.peers[a[0]]++
-		s.lives[a[0]], s.seen[a[0]] = a[0]+"#1", 0
+		s.connections[a[0]]++
+		s.incarnations[a[0]], s.launchesSeen[a[0]] = a[0]+"#1", 0
 		s.assigner.AgentUp(s.now, s.peer(a[0]), a[0], "dc-1")
 	case "down":
 		s.assigner.AgentDown(s.now, s.peer(a[0]))
@@ -107,7 +107,7 @@
 
 func (s *script) load(a []string) {
 	l := &messenger.Load{
-		Incarnation: s.lives[a[0]], Service: "quote", State: messenger.RunnerState(a[1]), LaunchesReceived: s.seen[a[0]],
+		Incarnation: s.incarnations[a[0]], Service: "quote", State: messenger.RunnerState(a[1]), LaunchesReceived: s.launchesSeen[a[0]],
 		Capacity: messenger.Resources{MilliCPU: scripter.Number(s.t, a[2]), MemoryBytes: 1 << 30},
 		Used:     messenger.Resources{MilliCPU: scripter.Number(s.t, a[3])}, RelativeRunTimePercent: 100,
 	}
@@ -138,7 +138,7 @@
 	for _, send := range out.Sends {
 		instance, _, _ := strings.Cut(string(send.To), ".")
 		for _, l := range send.Frame.Launches {
-			s.seen[instance]++
+			s.launchesSeen[instance]++
 			fmt.Fprintf(&s.out, "launch at %s: %s/%d run %d\n", instance, l.Task.Job, l.Task.Index, l.Run)
 		}
 		for _, w := range send.Frame.Withdraws {
--- a/internal/assigner/job.go
+++ b/internal/assigner/job.go
@@ -8,38 +8,38 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// runStep is by how much the runs of a job rise when an upstream has seen a higher
-// one, from another entry that owned the job before.
+// runStep is the amount by which a job's run numbers are raised when an upstream has seen
+// a higher one from an entry that owned the job before, or when the job is resubmitted.
 const runStep = 16
 
 type job struct {
 	Job
 	arrived      time.Duration
-	expected     time.Duration // expected is the longest chain of work, as it is expected.
-	objective    time.Duration // objective is when the answer is in time.
-	latestUseful time.Duration // useless is when the answer is worth nothing any more.
-	deadline     time.Duration // deadline is when the caller leaves.
+	expected     time.Duration // expected run time of the longest chain of steps
+	objective    time.Duration // latest time at which an answer is in time
+	latestUseful time.Duration // time after which an answer is of no use
+	deadline     time.Duration // when the caller's timeout ends, less AnswerMargin
 	tasks        []*task
-	unfinished   []int // left counts the tasks of each step that are not done.
-	launched     bool  // launched means that a task was sent to an agent.
+	unfinished   []int // number of tasks that are not done, by step
+	launched     bool  // whether a task was sent to an agent
 	launchAt     time.Duration
-	ran          bool // ran means that a task may have run.
-	running      int  // out counts the tasks that may be at work.
-	answered     bool // answered means that the job is only kept until nothing of it is at work.
+	ran          bool // whether a task may have run
+	running      int  // number of tasks that may be running
+	answered     bool // an answered job is kept until none of its tasks may be running
 	baseRun      uint64
-	replacement  *job // next is a job of the same id, which begins when this one has ended.
+	replacement  *job // resubmission of the same ID, admitted once this job is removed
 }
 
-// state is where a task stands.
+// state is the state of a task.
 type state string
 
 const (
-	stateBlocked  state = "blocked" // stateBlocked means that steps before it are not done.
+	stateBlocked  state = "blocked" // The steps that it depends on are not done.
 	statePending  state = "pending"
 	stateLaunched state = "launched"
-	stateDeparted state = "departed" // stateDeparted means that its agent is away.
+	stateDeparted state = "departed" // Its agent has disconnected, and it may still run.
 	stateDone     state = "done"
-	stateDropped  state = "dropped" // stateDropped means that the job needs it no more.
+	stateDropped  state = "dropped" // The job does not need it any more.
 )
 
 type task struct {
@@ -49,12 +49,12 @@
 	state    state
 	run      uint64
 	failures int
-	agent    *agent // agent is where the task was launched last.
+	agent    *agent // where the task is launched; nil if it is not
 	expected time.Duration
-	avoid    []string // avoid has the instances where the task did badly.
+	avoid    []string // instances at which a run of the task ended badly
 }
 
-// Submit takes a job. Its answer may be in the next output.
+// Submit adds a job. Its answer may be in the next output.
 func (a *Assigner) Submit(now time.Duration, s Job) {
 	j := a.newJob(now, s)
 	if old := a.jobs[s.ID]; old != nil {
@@ -64,8 +64,8 @@
 	a.admit(now, j)
 }
 
-// supersede replaces a job by a repeated submission of the same id. The caller has
-// given up on the first request, or it has been answered.
+// supersede replaces a job by a resubmission of the same ID. Either the caller has given
+// up on the first request, or that request has been answered.
 func (a *Assigner) supersede(now time.Duration, old, j *job) {
 	if !old.answered {
 		a.logDecision(Decision{Event: "job-resubmitted", Task: messenger.TaskRef{Job: j.ID}})
@@ -110,11 +110,11 @@
 	return j
 }
 
-// lateFactor is how many objectives a job may take until its answer is worth
-// nothing: the services' agreement counts an answer as late up to there.
+// lateFactor is the number of objectives after which an answer is of no use. The
+// services' agreement counts an answer as late up to that time.
 const lateFactor = 3
 
-// admit begins a job, or rejects it if it cannot end in time.
+// admit starts a job, or rejects it if it cannot complete in time.
 func (a *Assigner) admit(now time.Duration, j *job) {
 	a.jobs[j.ID] = j
 	a.unblock(j)
@@ -135,7 +135,7 @@
 	}
 }
 
-// unblock makes the tasks pending whose earlier steps are done.
+// unblock makes the tasks pending for which all earlier steps are done.
 func (a *Assigner) unblock(j *job) {
 	for _, t := range j.tasks {
 		if t.state == stateBlocked && !slices.ContainsFunc(t.step.After, func(b int) bool { return j.unfinished[b] > 0 }) {
@@ -144,7 +144,7 @@
 	}
 }
 
-// suspend puts a task among those that wait for a place.
+// makePending adds a task to those that wait to be scheduled.
 func (a *Assigner) makePending(t *task) {
 	t.state = statePending
 	t.agent = nil
@@ -152,7 +152,8 @@
 	a.unsorted = true
 }
 
-// Leave takes the end of a caller's connection: nobody waits for the answer.
+// CallerLeft applies the end of a caller's connection: the job is dropped without an
+// answer.
 func (a *Assigner) CallerLeft(now time.Duration, id string, ticket uint64) {
 	for j := a.jobs[id]; j != nil; j = j.replacement {
 		if j.Ticket == ticket && !j.answered {
@@ -167,7 +168,7 @@
 	}
 }
 
-// Cancel ends a job. It reports whether the job is known.
+// Cancel ends a job. It reports whether the job was known and had no answer yet.
 func (a *Assigner) Cancel(now time.Duration, id string) bool {
 	j := a.jobs[id]
 	if j == nil || j.answered {
@@ -177,7 +178,8 @@
 	return true
 }
 
-// Known reports whether a job has no answer yet, and whether tasks were launched.
+// Known reports whether a job is known and has no answer yet, and whether any of its
+// tasks was launched.
 func (a *Assigner) Known(id string) (known, launched bool) {
 	j := a.jobs[id]
 	if j == nil || j.answered {
@@ -186,10 +188,10 @@
 	return true, j.launched
 }
 
-// Close makes the assigner reject what comes from now on.
+// StopAdmitting makes the assigner reject all jobs that are submitted from now on.
 func (a *Assigner) StopAdmitting() { a.closing = true }
 
-// GiveUp ends every job that has no answer, for the end of the process.
+// AbandonAll answers every job that has no answer yet, because the process shuts down.
 func (a *Assigner) AbandonAll(now time.Duration) {
 	for _, j := range a.sortedJobs() {
 		if !j.answered {
@@ -198,7 +200,8 @@
 	}
 }
 
-// abandon answers a job that will not be completed, with the truth about what ran.
+// abandon answers a job that will not complete: as given up if any of its tasks may have
+// run, and as rejected otherwise.
 func (a *Assigner) abandon(now time.Duration, j *job, reason string, wait time.Duration) {
 	if j.ran || j.running > 0 {
 		a.finish(now, j, OutcomeGivenUp, reason, 0)
@@ -216,22 +219,22 @@
 }
 
 const (
-	// minRetryAfter is the least time after which a rejected caller may come back, in the
-	// whole seconds of the header.
+	// minRetryAfter is the least delay after which a rejected caller may retry, since the
+	// header has whole seconds.
 	minRetryAfter = time.Second
-	// lullAfter is the time without a rejection after which an overload is over.
+	// overloadGap is the time without a rejection after which an overload has ended.
 	overloadGap = time.Second
 )
 
-// comeBack returns when a rejected caller may come back: when what is ahead has drained,
-// or the overload has lasted for twice as long, and later by a part of that, so that
-// callers do not return together.
+// retryDelay returns the delay after which a rejected caller may retry, given how long the
+// work ahead takes to drain or, if that is longer, how long the overload has lasted. It
+// adds jitter of up to the same time, so that callers do not retry together.
 func (a *Assigner) retryDelay(wait time.Duration) time.Duration {
 	wait = max(wait, minRetryAfter)
 	return wait + time.Duration(a.random.Int64N(int64(wait)))
 }
 
-// finish answers a job and drops what is left of it.
+// finish answers a job and drops its remaining tasks.
 func (a *Assigner) finish(now time.Duration, j *job, o Outcome, reason string, retryAfter time.Duration) {
 	j.answered = true
 	a.answer(now, j, o, reason, retryAfter)
@@ -250,7 +253,7 @@
 	})
 }
 
-// drop withdraws what is at work and forgets what waits.
+// drop withdraws the launched tasks of a job and removes its waiting ones.
 func (a *Assigner) drop(j *job) {
 	for _, t := range j.tasks {
 		switch t.state {
@@ -265,8 +268,8 @@
 	a.pending = slices.DeleteFunc(a.pending, func(t *task) bool { return t.job == j })
 }
 
-// forget removes an answered job of which nothing is at work, and begins the next
-// one of the same id.
+// forget removes an answered job once none of its tasks may be running, and admits its
+// resubmission if there is one.
 func (a *Assigner) forget(now time.Duration, j *job) {
 	if !j.answered || j.running > 0 || a.jobs[j.ID] != j {
 		return
@@ -289,8 +292,8 @@
 	return jobs
 }
 
-// rejectPending rejects the jobs of which nothing was started and that a condition
-// holds for.
+// rejectPending rejects the jobs that have run nothing and have a pending task for which
+// holds returns true.
 func (a *Assigner) rejectPending(now time.Duration, reason string, holds func(*task) bool) {
 	for {
 		i := slices.IndexFunc(a.pending, func(t *task) bool {
@@ -305,21 +308,21 @@
 	}
 }
 
-// rejectUseless rejects the jobs whose answer would be worth nothing.
+// rejectTooLate rejects the jobs whose answer would come too late to be of use.
 func (a *Assigner) rejectTooLate(now time.Duration) {
 	start := now + a.outage(now)
 	a.rejectPending(now, "too-late", func(t *task) bool { return start+t.expected > t.job.latestUseful })
 }
 
-// rejectOvertaken rejects the jobs that can only be late, while others find no room
-// that can still be in time: they come first.
+// rejectDisplaced rejects the jobs that would be late while tasks that can still be in
+// time find no capacity, because those take precedence.
 func (a *Assigner) rejectDisplaced(now time.Duration) {
 	if a.lacksCapacity && !a.settling(now) {
 		a.rejectPending(now, "overtaken", func(t *task) bool { return t.latestStart() < now })
 	}
 }
 
-// checkDeadlines gives up the jobs whose callers are about to leave.
+// checkDeadlines abandons the jobs whose callers are about to time out.
 func (a *Assigner) checkDeadlines(now time.Duration) {
 	var due []*job
 	for _, j := range a.jobs {
--- a/internal/assigner/place.go
+++ b/internal/assigner/place.go
@@ -10,33 +10,34 @@
 )
 
 const (
-	// returnAfter is how long a task may wait at an agent until it goes back, so that
-	// it can be placed where room has become free.
+	// maxAgentWait is the time that a task may wait at an agent before the agent returns
+	// it, so that it can be scheduled on another upstream with free capacity.
 	maxAgentWait = 25 * time.Millisecond
-	// lookAhead is the longest expected wait with which a task is sent to an agent: it
-	// covers the way there, so that room that becomes free is used at once.
+	// maxLaunchWait is the longest expected wait with which a task is launched at an agent.
+	// It covers the latency to the agent, so that freed capacity is used immediately.
 	maxLaunchWait = 3 * time.Millisecond
-	// scatter is the weight of chance in each choice. Entries with the same view, which
-	// is as old as the last report, must not choose the same upstream: among equal
-	// ones the chance is in proportion to the room that is free.
+	// randomWeight is the weight of randomness in each choice. Entries with the same view
+	// of the load, which is as old as the latest report, must not all choose the same
+	// upstream: among equal upstreams, the probability is proportional to the free capacity.
 	randomWeight = 12 * time.Millisecond
-	// clockSkew is by how much the clock of an agent may be off, as a divisor: 2%.
+	// clockSkewDivisor bounds the rate error of an agent's clock, as a divisor: 2%.
 	clockSkewDivisor = 50
-	// minFree is the least share of room that counts as free.
+	// minFreeShare is the least share of the capacity that is counted as free.
 	minFreeShare = 0.01
-	// avoidCost is what an upstream counts more where the task has ended badly.
+	// avoidCost is the added cost of an upstream at which a run of the task ended badly.
 	avoidCost = 300 * time.Millisecond
-	// defaultRun is the run time of tasks until one is known.
+	// defaultRun is the mean run time that is assumed until tasks have ended.
 	defaultRun = 250 * time.Millisecond
-	// nominalPace is the pace of an upstream that takes the expected time, in percent.
-	nominalPace = 100
+	// nominalRunTimePercent is the relative run time of an upstream that takes exactly the
+	// expected time.
+	nominalRunTimePercent = 100
 )
 
-// urgency returns the latest start with which the job meets its objective.
+// latestStart returns the latest start with which the job meets its objective.
 func (t *task) latestStart() time.Duration { return t.job.objective - t.expected }
 
-// place launches the waiting tasks, the most urgent first. What cannot be in time
-// any more comes after what still can.
+// schedule launches the pending tasks, the most urgent first. Tasks that can no longer be
+// in time come after those that can.
 func (a *Assigner) schedule(now time.Duration) {
 	a.lacksCapacity = false
 	if len(a.pending) == 0 {
@@ -55,8 +56,8 @@
 	}
 }
 
-// placeAll launches the tasks that are selected. It reports whether any was not, and
-// how many found no room.
+// scheduleSelected launches the pending tasks that are selected. It reports whether any
+// was not selected, and for how many of the others there was no capacity.
 func (a *Assigner) scheduleSelected(now time.Duration, selected func(*task) bool) (skipped bool, unscheduled int) {
 	failedAttempts := 0
 	a.unscheduled = a.unscheduled[:0]
@@ -82,24 +83,25 @@
 	return skipped, unscheduled
 }
 
-// maxTries bounds the tasks that are tried in vain in one pass, each of which asks for
-// less than those before it or for another label.
+// maxFailedAttempts bounds the failed attempts to schedule a task in one pass. Each is for
+// a task that needs less than those before it, or other upstreams.
 const maxFailedAttempts = 16
 
-// asksMore reports whether a task asks for as much as another one or more, of the same
-// upstreams.
+// needsAtLeast reports whether a task needs the same upstreams as another task and at
+// least as many resources.
 func (t *task) needsAtLeast(o *task) bool {
 	return t.job.Service == o.job.Service && t.step.Label == o.step.Label && o.step.Resources.Fits(t.step.Resources)
 }
 
-// maxLooks bounds the upstreams with room that are compared for a task, and as many
-// without: more make a choice hardly better, and take more than 2 us.
+// maxCandidates bounds the upstreams with free capacity that are compared for a task, and
+// the fully occupied ones that are. More candidates hardly improve the choice, and take
+// more than 2 us.
 const maxCandidates = 24
 
-// choose returns the agent whose upstream is expected to end the task first, among
-// some of those with room, and how long the task is expected to wait there. It returns
-// nil if none has room, or if those that have are so slow that the task is in time only
-// elsewhere.
+// choose returns the agent whose upstream is expected to complete the task first, among
+// some of those with free capacity, and the expected wait there. It returns nil if none
+// has free capacity, or if those that do are so slow that the task can be in time only at
+// an upstream that is still occupied.
 func (a *Assigner) choose(now time.Duration, t *task) (*agent, time.Duration) {
 	var best *agent
 	var bestCost, bestWait, bestKey time.Duration
@@ -156,8 +158,8 @@
 	return t.step.matches(l) && t.belowUpstreamLimit(g)
 }
 
-// insists reports whether a suspect upstream is used all the same: with most of the
-// upstreams of a service suspect, the fault is not theirs.
+// allowSuspect reports whether an upstream is used although it is suspect. If most
+// upstreams of a service are suspect, the upstreams are unlikely to be at fault.
 func (a *Assigner) allowSuspect(l *messenger.Load) bool {
 	if l.State != messenger.RunnerSuspect && l.State != messenger.RunnerProbing {
 		return false
@@ -178,11 +180,11 @@
 	return suspect*maxSuspectDivisor > all
 }
 
-// maxSuspect is the share of the upstreams that may be passed over as suspect, as a
-// divisor: a half, some five times of what fails at once.
+// maxSuspectDivisor bounds the share of a service's upstreams that are avoided as suspect,
+// as a divisor: a half, some five times the share that fails at once.
 const maxSuspectDivisor = 2
 
-// before reports whether a task that can be in time goes before those of a job.
+// before reports whether a task that can be in time is scheduled before the tasks of a job.
 func (t *task) before(j *job) bool {
 	if t.job.Priority != j.Priority {
 		return t.job.Priority < j.Priority
@@ -190,7 +192,7 @@
 	return t.latestStart() < j.objective-j.expected
 }
 
-// suits reports whether an upstream has the label and the size for a step.
+// matches reports whether an upstream has the label and the capacity for a step.
 func (s *Step) matches(l *messenger.Load) bool {
 	return s.Resources.Fits(l.Capacity) && (s.Label == "" || slices.Contains(l.Labels, s.Label))
 }
@@ -209,12 +211,13 @@
 	return n < most
 }
 
-// cost returns what speaks against an upstream, as a time.
+// cost returns the cost of running the task at an upstream, as a time: its slowness, its
+// distance, and whether a run of the task ended badly there.
 func (a *Assigner) cost(t *task, g *agent) time.Duration {
 	l := &g.load
 	var cost time.Duration
 	if l.RelativeRunTimePercent > 0 {
-		cost += t.expected * time.Duration(l.RelativeRunTimePercent-nominalPace) / nominalPace
+		cost += t.expected * time.Duration(l.RelativeRunTimePercent-nominalRunTimePercent) / nominalRunTimePercent
 	}
 	if g.dataCentre != a.dataCentre {
 		cost += a.limits.CrossDataCentreLatency
@@ -228,8 +231,8 @@
 	return cost
 }
 
-// chance returns the random part of a choice: the least of several is in proportion
-// to the room that is free.
+// randomCost returns the random part of the cost. An upstream has the least of several
+// with a probability proportional to its free capacity.
 func (a *Assigner) randomCost(g *agent) time.Duration {
 	l := &g.load
 	if l.Capacity.MilliCPU == 0 {
@@ -240,8 +243,8 @@
 	return time.Duration(float64(randomWeight) * math.Log(a.random.ExpFloat64()/free))
 }
 
-// occupied returns the room in use or asked for at the agent, with the launches that
-// its load does not cover.
+// occupied returns the resources in use or requested at the agent, including the launches
+// that its reported load does not include.
 func (g *agent) occupied() messenger.Resources {
 	r := g.load.Used.Add(g.load.Queued)
 	for _, h := range g.unreported {
@@ -250,11 +253,11 @@
 	return r
 }
 
-// wait returns how long a task of a size is expected to wait at the agent, if the
-// room in use becomes free evenly over the run time of a task.
-func (g *agent) wait(room messenger.Resources, run time.Duration) time.Duration {
+// wait returns how long a task with the given resources is expected to wait at the agent,
+// assuming that the resources in use become free evenly over the run time of a task.
+func (g *agent) wait(resources messenger.Resources, run time.Duration) time.Duration {
 	l := &g.load
-	used := g.occupied().Add(room)
+	used := g.occupied().Add(resources)
 	if used.Fits(l.Capacity) {
 		return 0
 	}
@@ -273,8 +276,8 @@
 	return time.Duration(float64(of) * float64(part) / float64(whole))
 }
 
-// outlook reports whether any known upstream has the size and the labels for the
-// job, and how long the job is expected to wait, from what is ahead of it.
+// outlook reports whether known upstreams have the capacity and the labels for the job's
+// steps, and how long the job is expected to wait behind the work ahead of it.
 func (a *Assigner) outlook(now time.Duration, j *job) (fits bool, wait time.Duration) {
 	var capacity, used messenger.Resources
 	for _, g := range a.order {
@@ -292,7 +295,7 @@
 		if t.job == j {
 			used = used.Add(t.step.Resources)
 		} else if t.latestStart() >= now && t.before(j) {
-			// The other entries have as much waiting.
+			// Each other entry is assumed to have as much work waiting.
 			for range a.entries {
 				used = used.Add(t.step.Resources)
 			}
@@ -305,8 +308,8 @@
 	return true, share(excess.MilliCPU, capacity.MilliCPU, a.meanRun)
 }
 
-// everySuits reports whether each step has an upstream of the service that could
-// run it. With none known that is open, and assumed.
+// everyStepMatches reports whether each step has an upstream of the service that could
+// run it. It returns true if no upstream of the service is known yet.
 func (a *Assigner) everyStepMatches(j *job) bool {
 	known := false
 	suits := make([]bool, len(j.Steps))
@@ -353,7 +356,7 @@
 	a.logDecision(Decision{Event: "task-launched", Task: t.ref, Run: t.run, Instance: g.instance, Wait: wait, Age: age})
 }
 
-// send makes the frames for the agents.
+// send adds the frames for the agents to the output.
 func (a *Assigner) send(now time.Duration) {
 	for _, g := range a.order {
 		if len(g.launches)+len(g.withdraws) == 0 && !a.heartbeatDue(now, g) {
@@ -368,8 +371,9 @@
 	}
 }
 
-// beatDue reports whether a frame must be sent to an agent, so that both sides know of
-// each other. One that rests is answered, so that its beats alone set the pace.
+// heartbeatDue reports whether a frame must be sent to an agent to keep the connection
+// alive. While an agent is idle, the entry answers the agent's heartbeats, so that these
+// alone determine the rate.
 func (a *Assigner) heartbeatDue(now time.Duration, g *agent) bool {
 	if a.idle(now, g, a.limits.IdleThreshold) {
 		return g.lastClock > g.lastEcho || now-g.lastSent >= a.limits.IdleHeartbeatInterval+a.limits.HeartbeatInterval
--- a/internal/assigner/place_test.go
+++ b/internal/assigner/place_test.go
@@ -9,9 +9,9 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// crowd returns an assigner with agents whose upstreams have from a part in use, in
-// thousandths of a core, to 7 cores more of 16, and a task.
-func crowd(upstreams, used int) (*Assigner, *task) {
+// loadedAssigner returns an assigner and a task. The assigner has agents whose upstreams
+// use between used, in thousandths of a core, and 7 cores more, of 16 cores.
+func loadedAssigner(upstreams, used int) (*Assigner, *task) {
 	a := New(testLimits, "dc-1", rand.New(rand.NewPCG(1, 1)))
 	for i := range upstreams {
 		instance := fmt.Sprintf("a%03d", i)
@@ -32,21 +32,22 @@
 }
 
 // TestChoiceAllocates checks that the choice of an upstream allocates nothing.
-func TestChoiceAllocates(t *testing.T) {
+func TestChoiceAllocatesNothing(t *testing.T) {
 	for _, upstreams := range []int{70, 900} {
-		a, task := crowd(upstreams, 4000)
+		a, task := loadedAssigner(upstreams, 4000)
 		if n := testing.AllocsPerRun(100, func() { a.choose(0, task) }); n > 0 {
 			t.Errorf("a choice among %d upstreams allocates %v times", upstreams, n)
 		}
 	}
 }
 
-// BenchmarkChoose times the choice of an upstream where most have room, and where none has.
+// BenchmarkChoose times the choice of an upstream if most have free capacity and if none
+// has.
 func BenchmarkChoose(b *testing.B) {
 	for _, upstreams := range []int{11, 70, 300, 900} {
 		for name, used := range map[string]int{"room": 4000, "full": 16000} {
 			b.Run(fmt.Sprintf("%s/%d", name, upstreams), func(b *testing.B) {
-				a, task := crowd(upstreams, used)
+				a, task := loadedAssigner(upstreams, used)
 				b.ReportAllocs()
 				for b.Loop() {
 					a.choose(0, task)
--- a/internal/assigner/queue.go
+++ b/internal/assigner/queue.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// queue is what is learned of a kind of job.
+// queue holds the run time estimates of a kind of job.
 type queue struct {
-	// ratio is the run time of tasks by the declared one.
+	// ratio is the mean ratio of actual to declared run time.
 	ratio float64
-	// mean is the run time of tasks, in seconds; 0 if none has ended yet.
+	// mean is the mean run time of tasks in seconds; 0 if none has ended yet.
 	mean float64
 }
 
-// learnWeight is the weight of one task in what is learned: some twenty tasks make
-// most of it.
+// learnWeight is the weight of one task in the moving averages: some twenty tasks make up
+// most of an average.
 const learnWeight = 0.05
 
 func (a *Assigner) queue(name string) *queue {
@@ -23,8 +23,8 @@
 	return q
 }
 
-// expect returns how long a task runs that was declared to take a time. Declared
-// times are off, so the mean of the queue counts as much.
+// expect returns the expected run time of a task from its declared one. Declared run
+// times are inaccurate, so the mean of the queue has the same weight.
 func (q *queue) expect(declared time.Duration) time.Duration {
 	byRatio := time.Duration(float64(declared) * q.ratio)
 	if q.mean == 0 {
@@ -37,7 +37,7 @@
 	return (byRatio + byMean) / 2
 }
 
-// learn takes the run time of a task at an upstream of a pace.
+// learn updates the estimates with the run time of a completed task.
 func (q *queue) learn(declared, took time.Duration) {
 	if q.mean == 0 {
 		q.mean = took.Seconds()
