--- a/internal/budgeter/budgeter.go
+++ b/internal/budgeter/budgeter.go
@@ -1,9 +1,9 @@
-// Package budgeter keeps retries a bounded share of the work.
+// Package budgeter implements a retry budget: it limits retries to a share of the work.
 //
-// A budget earns a fraction of a token with every unit of work and pays one for
-// every retry. While it is empty, retries are put off by a back-off that doubles
-// with each attempt and is jittered, so that an outage does not end in a storm.
-// The package does no I/O and draws its jitter from a seed.
+// A budget earns a fraction of a token with every unit of work and spends one for
+// every retry. While it is empty, retries are delayed by a backoff that doubles with
+// each attempt and has jitter, so that an outage does not end in a retry storm. The
+// package does no I/O and draws its jitter from a seed.
 package budgeter
 
 import (
@@ -15,11 +15,11 @@
 type Limits struct {
 	// Ratio is the number of retries that one unit of work earns.
 	Ratio float64
-	// Burst is the number of retries that an idle budget allows; it is also the
-	// most that is saved up.
+	// Burst is the maximum of tokens, and so the number of retries that a full budget
+	// allows in succession.
 	Burst float64
-	// Backoff is the mean pause before the first retry that is put off. It doubles
-	// with every attempt up to MaxBackoff.
+	// Backoff is the mean delay of the first attempt when the budget is empty. It doubles
+	// with every attempt, up to MaxBackoff.
 	Backoff    time.Duration
 	MaxBackoff time.Duration
 }
@@ -27,7 +27,7 @@
 // Budgeter is the state of one budget.
 type Budgeter struct {
 	limits Limits
-	tokens float64 // tokens is at most limits.Burst.
+	tokens float64 // at most limits.Burst
 	random *rand.Rand
 	earned uint64
 	spent  uint64
@@ -42,7 +42,7 @@
 	}
 }
 
-// Earn adds units of work.
+// Earn adds the tokens for units of work.
 func (b *Budgeter) Earn(work int) {
 	b.earned += uint64(work)
 	b.tokens = min(b.limits.Burst, b.tokens+float64(work)*b.limits.Ratio)
@@ -58,8 +58,8 @@
 	return true
 }
 
-// Pause returns how long to wait before the attempt of the given number, counted
-// from 0. It is spread evenly over half to one and a half of its mean.
+// Backoff returns the delay before an attempt; attempts count from 0. The delay is
+// uniformly distributed from half to one and a half times its mean.
 func (b *Budgeter) Backoff(attempt int) time.Duration {
 	mean := b.limits.Backoff << min(max(attempt, 0), 20)
 	if mean > b.limits.MaxBackoff || mean <= 0 {
@@ -68,5 +68,5 @@
 	return time.Duration(float64(mean) * (0.5 + b.random.Float64()))
 }
 
-// Totals returns the units of work and the retries so far.
+// Totals returns the total units of work and the total retries.
 func (b *Budgeter) Totals() (work, retries uint64) { return b.earned, b.spent }
--- a/internal/budgeter/budgeter_test.go
+++ b/internal/budgeter/budgeter_test.go
@@ -12,8 +12,8 @@
 // TestMain fixes the seed of the random tests.
 func TestMain(m *testing.M) { seeder.Main(m) }
 
-// TestRetriesStayBounded holds that retries never exceed the burst and the ratio
-// of the work, and that a pause stays within its jitter.
+// TestRetriesStayBounded checks that retries never exceed the burst plus the ratio of the
+// work, and that the backoff stays within its jitter.
 func TestRetriesStayBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limits := Limits{Ratio: 0.1, Burst: 5, Backoff: 10 * time.Millisecond, MaxBackoff: time.Second}
@@ -29,9 +29,9 @@
 				rt.Fatalf("%d retries for %d units of work, want at most %v", retries, work, most)
 			}
 		}
-		pause := b.Backoff(rapid.IntRange(0, 100).Draw(rt, "attempt"))
-		if pause < limits.Backoff/2 || pause > limits.MaxBackoff*3/2 {
-			rt.Fatalf("pause %v is outside its bounds", pause)
+		backoff := b.Backoff(rapid.IntRange(0, 100).Draw(rt, "attempt"))
+		if backoff < limits.Backoff/2 || backoff > limits.MaxBackoff*3/2 {
+			rt.Fatalf("backoff %v is outside its bounds", backoff)
 		}
 	})
 }
--- a/internal/creditor/creditor.go
+++ b/internal/creditor/creditor.go
@@ -1,18 +1,18 @@
-// Package creditor says how many tasks each entry may have outstanding at an
-// agent.
+// Package creditor divides an agent's slots among the entries: it decides how many tasks
+// each entry may have outstanding at the agent.
 //
-// The limit of an entry is what the other entries leave of the slots, at least a
-// floor, and a depth: the starts that may wait at the agent for a slot. An entry
-// learns its limit with the messages that go to it anyway, so limits make no
-// messages of their own, and every result tells how busy the agent is. An entry may
-// let a few tasks of very large jobs wait beyond its limit; they yield to others.
+// The limit of an entry is the number of slots that the other entries do not use, at
+// least MinSlots, plus QueueDepth for starts that may wait at the agent for a slot.
+// Limits travel in messages that are sent to the entry anyway, so they cause no messages
+// of their own, and every result tells the entry how busy the agent is. An entry may let
+// a few tasks of bulk jobs wait beyond its limit; they yield to other tasks.
 //
-// While the entries' knowledge is up to date, together they start at most as many
-// tasks as there are slots, and the depth of each waits. Where two entries take
-// the same free slot at the same moment, one task waits at the agent for the next
-// slot. The upstream never runs more tasks than it has slots: the guard sees to
-// that. What an entry that is gone has outstanding counts until it ends; its limit
-// is the others' at once.
+// While the entries' limits are up to date, all entries together start at most as many
+// tasks as there are slots, and up to QueueDepth starts of each entry wait. If two
+// entries use the same free slot simultaneously, one task waits at the agent for the next
+// slot. The guard ensures that the upstream never runs more tasks than it has slots. The
+// outstanding tasks of a disconnected entry count until they end; the rest of its limit
+// is available to the others immediately.
 package creditor
 
 import "sardinelock.dev/sardinelock/internal/messenger"
@@ -20,35 +20,35 @@
 // Limits are the settings of a creditor. A field that is zero takes the value of
 // [DefaultLimits].
 type Limits struct {
-	// Floor is the least number of slots that an entry may count on.
+	// MinSlots is the least number of slots in an entry's limit.
 	MinSlots int
-	// Depth is how many starts of an entry may wait for a slot.
+	// QueueDepth is the number of starts of an entry that may wait for a slot.
 	QueueDepth int
 }
 
 // DefaultLimits returns the settings that suit most deployments.
 func DefaultLimits() Limits { return Limits{MinSlots: 1, QueueDepth: 8} }
 
-// Grant is a limit that an entry has not been told.
+// Grant is a limit that has to be sent to an entry.
 type Grant struct {
 	Entry messenger.Peer
 	Limit int
 }
 
-// Creditor is the state of one agent's division.
+// Creditor holds the division of one agent's slots.
 type Creditor struct {
 	limits        Limits
 	slots         int
-	shares        []*share // shares has the connected entries in order of arrival.
-	departedTasks int      // orphans counts the tasks of entries that are gone.
+	shares        []*share // the connected entries in order of arrival
+	departedTasks int      // number of outstanding tasks of disconnected entries
 	grants        []Grant
 }
 
-// share is what one entry has of the slots.
+// share is the part of one entry in the division.
 type share struct {
 	entry       messenger.Peer
-	outstanding int // outstanding counts the tasks that run or wait for the entry.
-	sentLimit   int // told is the limit that the entry knows; -1 if none.
+	outstanding int // number of the entry's tasks that run or wait
+	sentLimit   int // the latest limit sent to the entry; -1 if none was
 }
 
 // New returns a creditor without slots.
@@ -63,7 +63,7 @@
 	return &Creditor{limits: limits}
 }
 
-// SetSlots sets the number of slots that are divided.
+// SetSlots sets the number of slots to divide.
 func (c *Creditor) SetSlots(n int) { c.slots = n }
 
 // EntryUp adds an entry.
@@ -72,8 +72,7 @@
 	c.shares = append(c.shares, &share{entry: entry, sentLimit: -1})
 }
 
-// EntryDown removes an entry. The tasks that it has running keep their slots
-// until they end.
+// EntryDown removes an entry. Its outstanding tasks count until they end.
 func (c *Creditor) EntryDown(entry messenger.Peer) {
 	for i, s := range c.shares {
 		if s.entry == entry {
@@ -84,7 +83,7 @@
 	}
 }
 
-// Started counts a task that an entry has outstanding.
+// Started counts a new outstanding task of an entry.
 func (c *Creditor) Started(entry messenger.Peer) {
 	if s := c.share(entry); s != nil {
 		s.outstanding++
@@ -93,7 +92,7 @@
 	c.departedTasks++
 }
 
-// Ended counts the end of a task. The empty entry stands for one that is gone.
+// Ended counts the end of a task. An empty entry stands for a disconnected one.
 func (c *Creditor) Ended(entry messenger.Peer) {
 	if s := c.share(entry); s != nil && s.outstanding > 0 {
 		s.outstanding--
@@ -102,11 +101,11 @@
 	c.departedTasks = max(0, c.departedTasks-1)
 }
 
-// Told records that an entry was sent its limit.
+// GrantSent records that a grant was sent to its entry.
 func (c *Creditor) GrantSent(g Grant) { c.share(g.Entry).sentLimit = g.Limit }
 
-// Divide returns the limits that entries do not know. What it returns is valid
-// until the next call.
+// PendingGrants returns the limits that have changed since they were last sent. The
+// returned slice is valid until the next call.
 func (c *Creditor) PendingGrants() []Grant {
 	used := c.Outstanding()
 	c.grants = c.grants[:0]
@@ -118,7 +117,8 @@
 	return c.grants
 }
 
-// limit returns the limit of an entry whose peers have tasks outstanding.
+// limit returns the limit of an entry while the other entries have the given number of
+// tasks outstanding.
 func (c *Creditor) limit(others int) int {
 	if c.slots == 0 {
 		return 0
@@ -126,7 +126,8 @@
 	return max(c.limits.MinSlots, c.slots-others) + c.limits.QueueDepth
 }
 
-// Outstanding returns the tasks at the agent, those of absent entries included.
+// Outstanding returns the number of tasks at the agent, including those of disconnected
+// entries.
 func (c *Creditor) Outstanding() int {
 	n := c.departedTasks
 	for _, s := range c.shares {
--- a/internal/creditor/creditor_test.go
+++ b/internal/creditor/creditor_test.go
@@ -13,9 +13,9 @@
 // TestMain fixes the seed of the random tests.
 func TestMain(m *testing.M) { seeder.Main(m) }
 
-// TestDeadEntryReturnsCredits holds that the others' limits rise at once by what a
-// dead entry had waiting, and by the rest as its tasks end.
-func TestDeadEntryReturnsCredits(t *testing.T) {
+// TestDeadEntryReturnsCredits checks that an entry's limit rises by the slots of a
+// disconnected entry once the tasks of that entry have ended.
+func TestDisconnectedEntryReturnsCredits(t *testing.T) {
 	c := New(Limits{MinSlots: 1, QueueDepth: 2})
 	c.SetSlots(8)
 	c.EntryUp("a")
@@ -35,17 +35,18 @@
 	}
 }
 
-// TestLimitsFollowOutstanding drives a creditor at random. An entry's limit and
-// what the others have outstanding never exceed slots, floor and depth together.
+// TestLimitsFollowOutstanding drives a creditor at random and checks the bounds of each
+// limit: at least MinSlots plus QueueDepth, and at most the slots that others leave, or
+// MinSlots, plus QueueDepth.
 func TestLimitsFollowOutstanding(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d := &driver{c: New(Limits{MinSlots: 1, QueueDepth: 3}), outstanding: map[messenger.Peer]int{}}
+		d := &model{c: New(Limits{MinSlots: 1, QueueDepth: 3}), outstanding: map[messenger.Peer]int{}}
 		d.c.SetSlots(8)
 		rt.Repeat(map[string]func(*rapid.T){"up": d.up, "start": d.start, "end": d.end, "": d.check})
 	})
 }
 
-type driver struct {
+type model struct {
 	c           *Creditor
 	outstanding map[messenger.Peer]int
 }
@@ -54,13 +55,13 @@
 	return rapid.SampledFrom([]messenger.Peer{"a", "b", "c"}).Draw(rt, "entry")
 }
 
-func (d *driver) up(rt *rapid.T) {
+func (d *model) up(rt *rapid.T) {
 	if peer := entry(rt); d.c.share(peer) == nil {
 		d.c.EntryUp(peer)
 	}
 }
 
-func (d *driver) start(rt *rapid.T) {
+func (d *model) start(rt *rapid.T) {
 	peer := entry(rt)
 	if s := d.c.share(peer); s != nil && d.outstanding[peer] < s.sentLimit {
 		d.c.Started(peer)
@@ -68,14 +69,14 @@
 	}
 }
 
-func (d *driver) end(rt *rapid.T) {
+func (d *model) end(rt *rapid.T) {
 	if peer := entry(rt); d.outstanding[peer] > 0 {
 		d.c.Ended(peer)
 		d.outstanding[peer]--
 	}
 }
 
-func (d *driver) check(rt *rapid.T) {
+func (d *model) check(rt *rapid.T) {
 	for _, g := range d.c.PendingGrants() {
 		d.c.GrantSent(g)
 		others := d.c.Outstanding() - d.outstanding[g.Entry]
