--- a/internal/assigner/agent.go
+++ b/internal/assigner/agent.go
@@ -11,24 +11,24 @@
 
 // agent is a connected agent.
 type agent struct {
-	peer          messenger.Peer
-	instance      string
-	dataCentre    string
-	position      int // index in Assigner.order and Assigner.spareCPU
-	load          messenger.Load
-	loadKnown     bool               // whether the agent has reported its load
-	lastReceived  time.Duration      // when the latest frame was received
-	lastClock     time.Duration      // the agent's clock in its latest stamp
-	lastEcho      time.Duration      // the agent's clock in the latest echo sent to it
-	lastSent      time.Duration      // when the latest frame was sent
-	idleSince     time.Duration      // when the latest task there ended
-	leftIdleAt    time.Duration      // when a task was last launched there while it was idle
-	firstLaunchAt time.Duration      // when a task was last launched there while it had none
-	sent          uint64             // number of launches on the connection
-	unreported    []unreportedLaunch // launches that the reported load does not include yet
-	tasks         map[messenger.TaskRef]*task
-	launches      []messenger.Launch
-	withdraws     []messenger.Withdraw
+	peer         messenger.Peer
+	instance     string
+	dataCentre   string
+	position     int // index in Assigner.order and Assigner.spareCPU
+	load         messenger.Load
+	loadKnown    bool               // whether the agent has reported its load
+	lastReceived time.Duration      // when the latest frame was received
+	lastClock    time.Duration      // the agent's clock in its latest stamp
+	lastEcho     time.Duration      // the agent's clock in the latest echo sent to it
+	lastSent     time.Duration      // when the latest frame was sent
+	idleSince    time.Duration      // when the latest task there ended
+	leftIdleAt   time.Duration      // when a task was last launched there while it was idle
+	busySince    time.Duration      // when a task was last launched there while it had none
+	sent         uint64             // number of launches on the connection
+	unreported   []unreportedLaunch // launches that the reported load does not include yet
+	tasks        map[messenger.TaskRef]*task
+	launches     []messenger.Launch
+	withdraws    []messenger.Withdraw
 }
 
 // spareCPU returns the capacity that is not occupied, in thousandths of a core.
@@ -97,7 +97,7 @@
 	if len(g.tasks) == 0 {
 		return
 	}
-	d := departedAgent{instance: g.instance, leaseExpiry: max(g.lastReceived, g.firstLaunchAt+wakeMargin) + a.limits.LeaseExpiry}
+	d := departedAgent{instance: g.instance, leaseExpiry: max(g.lastReceived, g.busySince+wakeMargin) + a.limits.LeaseExpiry}
 	d.tasks = g.sorted()
 	for _, t := range d.tasks {
 		t.state = stateDeparted
--- a/internal/assigner/place.go
+++ b/internal/assigner/place.go
@@ -93,9 +93,9 @@
 	return t.job.Service == o.job.Service && t.step.Label == o.step.Label && o.step.Resources.Fits(t.step.Resources)
 }
 
-// maxCandidates bounds the upstreams with free capacity that are compared for a task, and
-// the fully occupied ones that are. More candidates hardly improve the choice, and take
-// more than 2 us.
+// maxCandidates bounds the number of upstreams with free capacity that are compared for a
+// task and, separately, of those without. More candidates hardly improve the choice, and
+// take more than 2 us.
 const maxCandidates = 24
 
 // choose returns the agent whose upstream is expected to complete the task first, among
@@ -312,17 +312,17 @@
 // run it. It returns true if no upstream of the service is known yet.
 func (a *Assigner) everyStepMatches(j *job) bool {
 	known := false
-	suits := make([]bool, len(j.Steps))
+	matches := make([]bool, len(j.Steps))
 	for _, g := range a.order {
 		if !g.loadKnown || g.load.Service != j.Service || g.load.Capacity == (messenger.Resources{}) {
 			continue
 		}
 		known = true
 		for i := range j.Steps {
-			suits[i] = suits[i] || j.Steps[i].matches(&g.load)
+			matches[i] = matches[i] || j.Steps[i].matches(&g.load)
 		}
 	}
-	return !known || !slices.Contains(suits, false)
+	return !known || !slices.Contains(matches, false)
 }
 
 func (a *Assigner) launch(now time.Duration, t *task, g *agent, wait time.Duration) {
@@ -337,7 +337,7 @@
 		g.leftIdleAt = now
 	}
 	if len(g.tasks) == 0 {
-		g.firstLaunchAt = now
+		g.busySince = now
 	}
 	t.state, t.agent = stateLaunched, g
 	j.running++
--- a/internal/assigner/place_test.go
+++ b/internal/assigner/place_test.go
@@ -31,7 +31,7 @@
 	return a, j.tasks[0]
 }
 
-// TestChoiceAllocates checks that the choice of an upstream allocates nothing.
+// TestChoiceAllocatesNothing checks that the choice of an upstream allocates nothing.
 func TestChoiceAllocatesNothing(t *testing.T) {
 	for _, upstreams := range []int{70, 900} {
 		a, task := loadedAssigner(upstreams, 4000)
--- a/internal/creditor/creditor_test.go
+++ b/internal/creditor/creditor_test.go
@@ -13,8 +13,8 @@
 // TestMain fixes the seed of the random tests.
 func TestMain(m *testing.M) { seeder.Main(m) }
 
-// TestDeadEntryReturnsCredits checks that an entry's limit rises by the slots of a
-// disconnected entry once the tasks of that entry have ended.
+// TestDisconnectedEntryReturnsCredits checks that an entry's limit rises by the slots of
+// a disconnected entry once the tasks of that entry have ended.
 func TestDisconnectedEntryReturnsCredits(t *testing.T) {
 	c := New(Limits{MinSlots: 1, QueueDepth: 2})
 	c.SetSlots(8)
--- a/internal/placer/agent.go
+++ b/internal/placer/agent.go
@@ -51,8 +51,8 @@
 
 // outstanding is a task that was sent to an agent and has not ended.
 type outstanding struct {
-	need  Requirements // reserved for the task
-	queue *teamQueue
+	reserved Requirements // reserved for the task
+	queue    *teamQueue
 	// expected is the run time that was expected when the task was sent.
 	expected time.Duration
 	bulk     bool // whether the task belongs to a bulk job
@@ -175,8 +175,8 @@
 	if o.bulk {
 		a.bulk--
 	}
-	a.freeMemory += o.need.MemoryBytes
-	a.freeAccelerators += o.need.Accelerators
+	a.freeMemory += o.reserved.MemoryBytes
+	a.freeAccelerators += o.reserved.Accelerators
 	return o, true
 }
 
@@ -186,8 +186,8 @@
 	if o.bulk {
 		a.bulk++
 	}
-	a.freeMemory -= o.need.MemoryBytes
-	a.freeAccelerators -= o.need.Accelerators
+	a.freeMemory -= o.reserved.MemoryBytes
+	a.freeAccelerators -= o.reserved.Accelerators
 }
 
 // refused updates the agent's state or credit from a refusal, without waiting for the
--- a/internal/placer/dispatch.go
+++ b/internal/placer/dispatch.go
@@ -108,9 +108,9 @@
 			break // Only tasks of bulk jobs could be scheduled.
 		}
 		q := t.jobs.items[0]
-		need := q.job.Requirements[q.waiting[0]]
-		need.MemoryBytes = s.learned.memoryBytes(need.MemoryBytes)
-		chosen, full := p.pick(s, q, need)
+		requirements := q.job.Requirements[q.waiting[0]]
+		requirements.MemoryBytes = s.learned.memoryBytes(requirements.MemoryBytes)
+		chosen, full := p.pick(s, q, requirements)
 		if chosen == nil && full && p.sameForTeam(q) {
 			s.teams.remove(t.position) // No other job of the team can be scheduled either.
 			p.output.yielding = append(p.output.yielding, t)
@@ -121,7 +121,7 @@
 			p.removeJob(q)
 			continue
 		}
-		p.place(q, chosen.agent, need)
+		p.schedule(q, chosen.agent, requirements)
 	}
 	for _, q := range p.output.blocked {
 		q.queue.jobs.push(q)
@@ -134,12 +134,12 @@
 	p.output.yielding = p.output.yielding[:0]
 }
 
-// place schedules the first waiting task of a job on an agent.
-func (p *Placer) place(q *queuedJob, a *agent, need Requirements) {
+// schedule assigns the first waiting task of a job to an agent.
+func (p *Placer) schedule(q *queuedJob, a *agent, requirements Requirements) {
 	t := q.queue
 	index := q.waiting[0]
 	q.waiting = q.waiting[1:]
-	expected := t.service.learned.runTime(need.RunTime)
+	expected := t.service.learned.runTime(requirements.RunTime)
 	t.service.outstandingWork += expected
 	work := min(expected, q.work)
 	q.work -= work
@@ -152,7 +152,7 @@
 	p.outstandingTasks[q.job.Submission]++
 	p.sequence++
 	a.lastChosen = p.sequence
-	a.reserve(taskRef{q.job.Submission, index}, outstanding{need: need, queue: t, expected: expected, bulk: q.bulk})
+	a.reserve(taskRef{q.job.Submission, index}, outstanding{reserved: requirements, queue: t, expected: expected, bulk: q.bulk})
 	p.rerank(a)
 	if len(q.waiting) == 0 {
 		delete(p.jobs, q.job.Submission)
@@ -195,7 +195,7 @@
 
 // pick returns the best agent that can take the task now, or nil. It reports full if no
 // agent has the credit for a task of the job, whatever the task's requirements.
-func (p *Placer) pick(s *service, q *queuedJob, need Requirements) (best *membership, full bool) {
+func (p *Placer) pick(s *service, q *queuedJob, requirements Requirements) (best *membership, full bool) {
 	reserve := p.reserve(q)
 	for i, member := range s.available.items {
 		if i >= maxCandidates {
@@ -208,7 +208,7 @@
 			}
 			continue
 		}
-		if !member.agent.fits(need) {
+		if !member.agent.fits(requirements) {
 			continue
 		}
 		if i == 0 {
--- a/internal/placer/health.go
+++ b/internal/placer/health.go
@@ -18,7 +18,7 @@
 	stateProbing   HealthState = "probing"   // The agent gets one task, whose result decides.
 )
 
-// EjectReason says why an agent is ejected.
+// EjectReason is the reason for the ejection of an agent.
 type EjectReason string
 
 // The reasons of ejection.
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -269,7 +269,7 @@
 		a.refused(e.Refusal)
 	case dropped:
 		a.recovered()
-		p.charge(o.queue, e.RunTime-o.queue.service.learned.runTime(o.need.RunTime))
+		p.charge(o.queue, e.RunTime-o.queue.service.learned.runTime(o.reserved.RunTime))
 	default:
 		a.recovered()
 		p.recordResult(now, a, o, &e)
@@ -332,14 +332,14 @@
 func (p *Placer) recordResult(now time.Time, a *agent, o outstanding, e *End) {
 	p.hasResults = true
 	s := o.queue.service
-	expected := s.learned.runTime(o.need.RunTime)
+	expected := s.learned.runTime(o.reserved.RunTime)
 	p.charge(o.queue, e.RunTime-expected)
 	usual := s.learned.meanRunTime()
 	if usual > 0 {
 		usual = max(usual, expected)
 	}
 	if e.Kind == messenger.ResultDone && a.health.state != stateProbing && a.health.slowness < math.Log(p.limits.SlowFactor) {
-		s.learned.learn(o.need.RunTime, e.RunTime, e.PeakMemoryBytes)
+		s.learned.learn(o.reserved.RunTime, e.RunTime, e.PeakMemoryBytes)
 	}
 	if member := findMembership(a.memberships, s.name); member != nil {
 		p.observe(now, member, e, usual)
