--- a/internal/assigner/agent.go
+++ b/internal/assigner/agent.go
@@ -11,42 +11,42 @@
 
 // agent is a connected agent.
 type agent struct {
-	peer       messenger.Peer
-	instance   string
-	dataCentre string
-	at         int // at is the place in the order of agents.
-	load       messenger.Load
-	known      bool          // known means that the agent has told its load.
-	heardAt    time.Duration // heardAt is when the latest frame came.
-	clock      time.Duration // clock is the latest stamp of the agent.
-	echoed     time.Duration // echoed is the latest stamp of the agent that it was sent back.
-	sentAt     time.Duration // sentAt is when the latest frame was sent.
-	emptyAt    time.Duration // emptyAt is when the last task there ended.
-	wokenAt    time.Duration // wokenAt is when a task was launched there after a rest.
-	filledAt   time.Duration // filledAt is when a task was launched there while there was none.
-	sent       uint64        // sent counts the launches on the connection.
-	ahead      []ahead       // ahead has the launches that the load does not cover yet.
-	tasks      map[messenger.TaskRef]*task
-	launches   []messenger.Launch
-	withdraws  []messenger.Withdraw
+	peer         messenger.Peer
+	instance     string
+	dataCentre   string
+	position     int // index in Assigner.order and Assigner.spareCPU
+	load         messenger.Load
+	loadKnown    bool               // whether the agent has reported its load
+	lastReceived time.Duration      // when the latest frame was received
+	lastClock    time.Duration      // the agent's clock in its latest stamp
+	lastEcho     time.Duration      // the agent's clock in the latest echo sent to it
+	lastSent     time.Duration      // when the latest frame was sent
+	idleSince    time.Duration      // when the latest task there ended
+	leftIdleAt   time.Duration      // when a task was last launched there while it was idle
+	busySince    time.Duration      // when a task was last launched there while it had none
+	sent         uint64             // number of launches on the connection
+	unreported   []unreportedLaunch // launches that the reported load does not include yet
+	tasks        map[messenger.TaskRef]*task
+	launches     []messenger.Launch
+	withdraws    []messenger.Withdraw
 }
 
-// spare returns what is not occupied of the capacity, in thousandths of a core.
-func (g *agent) spare() int64 { return g.load.Capacity.MilliCPU - g.occupied().MilliCPU }
+// spareCPU returns the capacity that is not occupied, in thousandths of a core.
+func (g *agent) spareCPU() int64 { return g.load.Capacity.MilliCPU - g.occupied().MilliCPU }
 
-// index notes where each agent stands in their order.
-func (a *Assigner) index() {
-	a.spares = a.spares[:0]
+// updatePositions updates each agent's position and the spare CPU by position.
+func (a *Assigner) updatePositions() {
+	a.spareCPU = a.spareCPU[:0]
 	for i, g := range a.order {
-		g.at = i
-		a.spares = append(a.spares, g.spare())
+		g.position = i
+		a.spareCPU = append(a.spareCPU, g.spareCPU())
 	}
 }
 
-// ahead is the room of one launch.
-type ahead struct {
-	sequence uint64
-	room     messenger.Resources
+// unreportedLaunch holds the resources of a launch.
+type unreportedLaunch struct {
+	sequence  uint64
+	resources messenger.Resources
 }
 
 // sorted returns the tasks at the agent in a fixed order.
@@ -54,8 +54,8 @@
 	return slices.SortedFunc(maps.Values(g.tasks), func(x, y *task) int { return x.ref.Compare(y.ref) })
 }
 
-// AgentUp takes the connection of an agent. Nothing that it ran for this entry before
-// is left.
+// AgentUp applies the connection of an agent. The agent has stopped all earlier runs for
+// this entry before it connects.
 func (a *Assigner) AgentUp(now time.Duration, peer messenger.Peer, instance, dataCentre string) {
 	if old := a.agents[peer]; old != nil {
 		a.AgentDown(now, peer)
@@ -68,23 +68,23 @@
 	}
 	for i := range a.departed {
 		if a.departed[i].instance == instance {
-			a.departed[i].until = now
+			a.departed[i].leaseExpiry = now
 		}
 	}
 	a.resolveDeparted(now)
 	g := &agent{
-		peer: peer, instance: instance, dataCentre: dataCentre, heardAt: now, sentAt: now,
-		emptyAt: now - a.limits.IdleThreshold, tasks: make(map[messenger.TaskRef]*task),
+		peer: peer, instance: instance, dataCentre: dataCentre, lastReceived: now, lastSent: now,
+		idleSince: now - a.limits.IdleThreshold, tasks: make(map[messenger.TaskRef]*task),
 	}
 	a.agents[peer] = g
 	a.order = append(a.order, g)
 	slices.SortFunc(a.order, func(x, y *agent) int { return cmp.Compare(x.instance, y.instance) })
-	a.index()
-	a.decide(Decision{Event: "agent-connected", Instance: instance})
+	a.updatePositions()
+	a.logDecision(Decision{Event: "agent-connected", Instance: instance})
 }
 
-// AgentDown takes the end of an agent's connection. What ran there may still be at
-// work for a while.
+// AgentDown applies the end of an agent's connection. Its tasks may still run until its
+// lease expires.
 func (a *Assigner) AgentDown(now time.Duration, peer messenger.Peer) {
 	g := a.agents[peer]
 	if g == nil {
@@ -92,12 +92,12 @@
 	}
 	delete(a.agents, peer)
 	a.order = slices.DeleteFunc(a.order, func(o *agent) bool { return o == g })
-	a.index()
-	a.decide(Decision{Event: "agent-disconnected", Instance: g.instance, Age: now - g.heardAt})
+	a.updatePositions()
+	a.logDecision(Decision{Event: "agent-disconnected", Instance: g.instance, Age: now - g.lastReceived})
 	if len(g.tasks) == 0 {
 		return
 	}
-	d := departure{instance: g.instance, until: max(g.heardAt, g.filledAt+wakeSlack) + a.limits.LeaseExpiry}
+	d := departedAgent{instance: g.instance, leaseExpiry: max(g.lastReceived, g.busySince+wakeMargin) + a.limits.LeaseExpiry}
 	d.tasks = g.sorted()
 	for _, t := range d.tasks {
 		t.state = stateDeparted
@@ -106,11 +106,12 @@
 	a.departed = append(a.departed, d)
 }
 
-// resolveDeparted places anew what has certainly ended.
+// resolveDeparted reschedules the tasks of departed agents whose lease has expired, so
+// that their runs have ended.
 func (a *Assigner) resolveDeparted(now time.Duration) {
-	var due []departure
-	a.departed = slices.DeleteFunc(a.departed, func(d departure) bool {
-		if now < d.until {
+	var due []departedAgent
+	a.departed = slices.DeleteFunc(a.departed, func(d departedAgent) bool {
+		if now < d.leaseExpiry {
 			return false
 		}
 		due = append(due, d)
@@ -118,151 +119,157 @@
 	})
 	for _, d := range due {
 		for _, t := range d.tasks {
-			a.decide(Decision{Event: "task-lost", Task: t.ref, Run: t.run, Instance: d.instance})
+			a.logDecision(Decision{Event: "task-lost", Task: t.ref, Run: t.run, Instance: d.instance})
 			t.avoid = append(t.avoid, d.instance)
-			a.resolve(now, t, true)
+			a.endRun(now, t, true)
 		}
 	}
 }
 
-// resolve takes the end of a run that was not completed.
-func (a *Assigner) resolve(now time.Duration, t *task, ran bool) {
+// endRun applies the end of a run that did not complete, and reschedules the task unless
+// the job is answered.
+func (a *Assigner) endRun(now time.Duration, t *task, ran bool) {
 	j := t.job
-	j.out--
+	j.running--
 	j.ran = j.ran || ran
 	if j.answered {
 		t.state = stateDropped
 		a.forget(now, j)
 		return
 	}
-	a.suspend(t)
+	a.makePending(t)
 }
 
-// checkAgents closes the connections of agents that are silent.
+// checkAgents closes the connections of agents that exceed the liveness timeout.
 func (a *Assigner) checkAgents(now time.Duration) {
 	for _, g := range slices.Clone(a.order) {
 		if a.silence(now, g) > a.limits.LivenessTimeout {
-			a.decide(Decision{Event: "agent-silent", Instance: g.instance, Age: now - g.heardAt})
+			a.logDecision(Decision{Event: "agent-silent", Instance: g.instance, Age: now - g.lastReceived})
 			a.out.Closes = append(a.out.Closes, g.peer)
 			a.AgentDown(now, g.peer)
 		}
 	}
 }
 
-// wakeSlack is how long the first task after a rest may wait at its agent: returnAfter,
-// and what clocks that differ by 2% drift apart in a rest of 2 s, with a margin.
-const wakeSlack = 100 * time.Millisecond
+// wakeMargin is the longest time that the first task after an idle period may wait at its
+// agent: maxAgentWait, plus the drift of clocks that differ by 2% over an idle period of
+// 2 s, plus a margin.
+const wakeMargin = 100 * time.Millisecond
 
-// rested reports whether an agent has had no task for a time.
-func (a *Assigner) rested(now time.Duration, g *agent, d time.Duration) bool {
-	return len(g.tasks) == 0 && now-g.emptyAt >= d
+// idle reports whether an agent has had no task for at least the duration.
+func (a *Assigner) idle(now time.Duration, g *agent, d time.Duration) bool {
+	return len(g.tasks) == 0 && now-g.idleSince >= d
 }
 
-// silence returns for how long an agent has been silent that should not be.
+// silence returns the time since the agent's latest frame, less the longer heartbeat
+// interval that it may use while it is idle.
 func (a *Assigner) silence(now time.Duration, g *agent) time.Duration {
-	silence := now - max(g.heardAt, g.wokenAt)
-	// The agent begins its rest later or earlier than the entry, by the way of a frame.
-	if a.rested(now, g, a.limits.IdleThreshold/2) {
+	silence := now - max(g.lastReceived, g.leftIdleAt)
+	// The agent's idle period begins earlier or later than the entry's view of it, by the
+	// latency of a frame, so half of the threshold is used here.
+	if a.idle(now, g, a.limits.IdleThreshold/2) {
 		silence -= a.limits.IdleHeartbeatInterval
 	}
 	return silence
 }
 
-// doubtful reports whether an agent has been silent for so long that nothing is sent to it.
-func (a *Assigner) doubtful(now time.Duration, g *agent) bool {
+// suspect reports whether an agent exceeds the suspicion timeout, so that no task is
+// launched there.
+func (a *Assigner) suspect(now time.Duration, g *agent) bool {
 	return a.silence(now, g) > a.limits.SuspicionTimeout
 }
 
-// Receive takes a frame of an agent.
+// Receive applies a frame from an agent.
 func (a *Assigner) Receive(now time.Duration, peer messenger.Peer, f *messenger.Frame) {
 	g := a.agents[peer]
 	if g == nil {
 		return
 	}
-	g.heardAt = now
+	g.lastReceived = now
 	if f.Stamp != nil {
-		g.clock = max(g.clock, f.Stamp.Clock)
+		g.lastClock = max(g.lastClock, f.Stamp.Clock)
 	}
 	for i := range f.Ends {
-		a.ended(now, g, &f.Ends[i])
+		a.applyEnd(now, g, &f.Ends[i])
 	}
 	if f.Load != nil {
-		a.loaded(g, f.Load)
-		a.spares[g.at] = g.spare()
+		a.applyLoad(g, f.Load)
+		a.spareCPU[g.position] = g.spareCPU()
 	}
 }
 
-func (a *Assigner) loaded(g *agent, l *messenger.Load) {
-	if !g.known || g.load.State != l.State || g.load.Incarnation != l.Incarnation {
-		a.decide(Decision{Event: "upstream-state", Instance: g.instance, Reason: string(l.State)})
+func (a *Assigner) applyLoad(g *agent, l *messenger.Load) {
+	if !g.loadKnown || g.load.State != l.State || g.load.Incarnation != l.Incarnation {
+		a.logDecision(Decision{Event: "upstream-state", Instance: g.instance, Reason: string(l.State)})
 	}
 	if l.Capacity == (messenger.Resources{}) {
 		l.Capacity = g.load.Capacity
 	}
-	g.load, g.known = *l, true
-	g.ahead = slices.DeleteFunc(g.ahead, func(h ahead) bool { return h.sequence <= l.LaunchesReceived })
+	g.load, g.loadKnown = *l, true
+	g.unreported = slices.DeleteFunc(g.unreported, func(h unreportedLaunch) bool { return h.sequence <= l.LaunchesReceived })
 }
 
-// ended takes the end of a run.
-func (a *Assigner) ended(now time.Duration, g *agent, e *messenger.End) {
+// applyEnd applies the end of a run that an agent reports.
+func (a *Assigner) applyEnd(now time.Duration, g *agent, e *messenger.End) {
 	t := g.tasks[e.Task]
 	if t == nil || t.run != e.Run {
 		return
 	}
 	delete(g.tasks, e.Task)
-	g.emptyAt = now
+	g.idleSince = now
 	j := t.job
 	t.agent = nil
 	switch e.Kind {
 	case messenger.EndDone:
 		a.queue(j.Queue).learn(t.step.DeclaredRunTime, e.RunTime)
 		a.meanRun += time.Duration(learnWeight * float64(e.RunTime-a.meanRun))
-		a.done(now, t)
+		a.completeTask(now, t)
 		return
 	case messenger.EndFailed:
-		if a.failed(now, t) {
+		if a.countFailure(now, t) {
 			return
 		}
 	case messenger.EndStaleRun:
-		j.base += runStep
+		j.baseRun += runStep
 	}
 	if e.Kind != messenger.EndReturned && e.Kind != messenger.EndWithdrawn {
 		t.avoid = append(t.avoid, g.instance)
 	}
 	if !j.answered {
-		a.decide(Decision{Event: "task-ended", Task: t.ref, Run: t.run, Instance: g.instance, Reason: string(e.Kind), Age: e.RunTime})
+		a.logDecision(Decision{Event: "task-ended", Task: t.ref, Run: t.run, Instance: g.instance, Reason: string(e.Kind), Age: e.RunTime})
 	}
 	ran := e.Kind.Ran() && (e.Kind != messenger.EndWithdrawn || e.Started)
-	a.resolve(now, t, ran)
+	a.endRun(now, t, ran)
 }
 
-// failed counts a failure and reports whether it was the task's last.
-func (a *Assigner) failed(now time.Duration, t *task) bool {
+// countFailure counts a failed attempt. If the attempts are used up, it fails the job
+// and returns true.
+func (a *Assigner) countFailure(now time.Duration, t *task) bool {
 	t.failures++
 	j := t.job
 	if j.answered || t.failures < j.MaxAttempts {
 		return false
 	}
 	t.state = stateDone
-	j.out--
+	j.running--
 	j.ran = true
 	a.finish(now, j, OutcomeFailed, "attempts-used-up", 0)
 	return true
 }
 
-// done completes a task, and its job with the last one.
-func (a *Assigner) done(now time.Duration, t *task) {
+// completeTask marks a task as done and completes its job if no task is left.
+func (a *Assigner) completeTask(now time.Duration, t *task) {
 	j := t.job
-	j.out--
+	j.running--
 	j.ran = true
 	t.state = stateDone
-	j.left[t.ref.Step]--
+	j.unfinished[t.ref.Step]--
 	switch {
 	case j.answered:
 		a.forget(now, j)
-	case !slices.ContainsFunc(j.left, func(n int) bool { return n > 0 }):
+	case !slices.ContainsFunc(j.unfinished, func(n int) bool { return n > 0 }):
 		a.finish(now, j, OutcomeCompleted, "", 0)
-	case j.left[t.ref.Step] == 0:
+	case j.unfinished[t.ref.Step] == 0:
 		a.unblock(j)
 	}
 }
--- a/internal/placer/dispatch.go
+++ b/internal/placer/dispatch.go
@@ -4,20 +4,20 @@
 	"time"
 )
 
-// output gathers what one dispatch decides. Its memory is used again by the next.
+// output collects the assignments of one dispatch. The next dispatch reuses its memory.
 type output struct {
-	dispatch    uint64 // dispatch counts the calls of Dispatch.
+	dispatch    uint64 // number of calls of Dispatch
 	assignments []Assignment
-	meta        []assignmentMeta // meta has one entry an assignment.
+	meta        []assignmentMeta // one for each assignment
 	placements  []placement
-	tasks       []uint16 // tasks is the memory of the assignments' tasks.
-	blocked     []*queued
-	yielding    []*teamQueue // yielding has the teams that wait until others have enough.
+	tasks       []uint16 // backing array of the assignments' tasks
+	blocked     []*queuedJob
+	yielding    []*teamQueue // teams without enough free credit, because they leave a reserve to other teams
 }
 
 type assignmentMeta struct {
-	job      *queued
-	previous int // previous is an earlier assignment for the same agent, -1 for none.
+	job      *queuedJob
+	previous int // index of an earlier assignment for the same agent, -1 if there is none
 	count    int
 }
 
@@ -26,7 +26,7 @@
 	index      uint16
 }
 
-// delayedTask is a task that is placed again when its time has come.
+// delayedTask is a task that returns to its queue at a due time.
 type delayedTask struct {
 	due   time.Time
 	job   Job
@@ -37,15 +37,15 @@
 	// maxBlocked bounds the jobs that one dispatch passes over in a service because
 	// no agent with free credit has the memory or accelerators for them.
 	maxBlocked = 16
-	// maxTried bounds the agents that are looked at for one task.
-	maxTried = 64
+	// maxCandidates bounds the agents that are evaluated for one task.
+	maxCandidates = 64
 )
 
 // Dispatch takes tasks from the queues as far as credits allow and returns them
-// as one batch for each job and agent. What it returns is valid until the next
+// as one batch for each job and agent. The returned slice is valid until the next
 // call.
 func (p *Placer) Dispatch(now time.Time) []Assignment {
-	p.touch(now)
+	p.recordStart(now)
 	p.output.reset()
 	p.probeDue(now)
 	p.returnDelayed(now)
@@ -57,10 +57,10 @@
 	return p.output.gather()
 }
 
-// Requeue puts a task of a known job back to the front of its queue, at once
-// while the budget for placing again allows it and later otherwise.
+// Requeue returns a task of a known job to the front of its queue: immediately if
+// the reschedule budget allows it, otherwise after a backoff.
 func (p *Placer) Requeue(now time.Time, j Job, index uint16) {
-	p.touch(now)
+	p.recordStart(now)
 	if p.retries.Spend() {
 		p.requeue(j, index)
 		return
@@ -72,14 +72,14 @@
 	s := p.service(j.Service)
 	work := s.learned.runTime(j.Requirements[index].RunTime)
 	if q := p.jobs[j.Submission]; q != nil {
-		q.front(index)
+		q.prepend(index)
 		q.work += work
-		p.count(q, 1, work)
+		p.adjustCounts(q, 1, work)
 		return
 	}
-	q := &queued{job: j, waiting: []uint16{index}, work: work, position: -1, queue: p.queueOf(s, j.Team)}
+	q := &queuedJob{job: j, waiting: []uint16{index}, work: work, position: -1, queue: p.queueOf(s, j.Team)}
 	p.jobs[j.Submission] = q
-	p.add(q)
+	p.addJob(q)
 }
 
 func (p *Placer) returnDelayed(now time.Time) {
@@ -94,9 +94,9 @@
 	p.delayed = kept
 }
 
-// dispatchService places tasks of one service until credits or tasks run out.
+// dispatchService schedules tasks of one service until credits or tasks run out.
 func (p *Placer) dispatchService(now time.Time, s *service) {
-	for len(s.teams.items) > 0 && len(s.seats.items) > 0 && len(p.output.blocked) < maxBlocked {
+	for len(s.teams.items) > 0 && len(s.available.items) > 0 && len(p.output.blocked) < maxBlocked {
 		t := s.teams.items[0]
 		if !t.team.mayStart(now) {
 			s.teams.remove(t.position)
@@ -104,144 +104,146 @@
 			p.throttled = append(p.throttled, t)
 			continue
 		}
-		if s.deep == 0 && s.seats.items[0].agent.free() <= 0 {
-			break // Only deep jobs could be placed.
+		if s.bulk == 0 && s.available.items[0].agent.freeCredit() <= 0 {
+			break // Only tasks of bulk jobs could be scheduled.
 		}
 		q := t.jobs.items[0]
-		need := q.job.Requirements[q.waiting[0]]
-		need.MemoryBytes = s.learned.memoryBytes(need.MemoryBytes)
-		chosen, full := p.pick(s, q, need)
-		if chosen == nil && full && p.alike(q) {
-			s.teams.remove(t.position) // The team's other jobs find no place either.
+		requirements := q.job.Requirements[q.waiting[0]]
+		requirements.MemoryBytes = s.learned.memoryBytes(requirements.MemoryBytes)
+		chosen, full := p.pick(s, q, requirements)
+		if chosen == nil && full && p.sameForTeam(q) {
+			s.teams.remove(t.position) // No other job of the team can be scheduled either.
 			p.output.yielding = append(p.output.yielding, t)
 			continue
 		}
 		if chosen == nil {
 			p.output.blocked = append(p.output.blocked, q)
-			p.takeOut(q)
+			p.removeJob(q)
 			continue
 		}
-		p.place(q, chosen.agent, need)
+		p.schedule(q, chosen.agent, requirements)
 	}
 	for _, q := range p.output.blocked {
 		q.queue.jobs.push(q)
-		p.returnTurn(q.queue)
+		p.updateTurn(q.queue)
 	}
 	p.output.blocked = p.output.blocked[:0]
 	for _, t := range p.output.yielding {
-		p.returnTurn(t)
+		p.updateTurn(t)
 	}
 	p.output.yielding = p.output.yielding[:0]
 }
 
-// place assigns the first waiting task of a job to an agent.
-func (p *Placer) place(q *queued, a *agent, need Requirements) {
+// schedule assigns the first waiting task of a job to an agent.
+func (p *Placer) schedule(q *queuedJob, a *agent, requirements Requirements) {
 	t := q.queue
 	index := q.waiting[0]
 	q.waiting = q.waiting[1:]
-	expected := t.service.learned.runTime(need.RunTime)
-	t.service.sent += expected
+	expected := t.service.learned.runTime(requirements.RunTime)
+	t.service.outstandingWork += expected
 	work := min(expected, q.work)
 	q.work -= work
-	q.key -= work / t.service.divisor
-	p.count(q, -1, -work)
-	t.service.virtual = max(t.service.virtual, time.Duration(t.class)*p.limits.Quantum)
+	q.key -= work / t.service.slotDivisor
+	p.adjustCounts(q, -1, -work)
+	t.service.virtualTime = max(t.service.virtualTime, time.Duration(t.round)*p.limits.Quantum)
 	p.use(t, expected)
-	t.team.take()
-	p.output.add(q, a, index, p.rank(q))
-	p.open[q.job.Submission]++
+	t.team.countStart()
+	p.output.add(q, a, index, p.startRank(q))
+	p.outstandingTasks[q.job.Submission]++
 	p.sequence++
-	a.used = p.sequence
-	a.hold(taskRef{q.job.Submission, index}, outstanding{need: need, queue: t, expected: expected, deep: q.deep})
+	a.lastChosen = p.sequence
+	a.reserve(taskRef{q.job.Submission, index}, outstanding{reserved: requirements, queue: t, expected: expected, bulk: q.bulk})
 	p.rerank(a)
 	if len(q.waiting) == 0 {
 		delete(p.jobs, q.job.Submission)
 		t.jobs.remove(q.position)
 	}
-	p.returnTurn(t)
+	p.updateTurn(t)
 }
 
-// reserve returns the credit that a job leaves at each agent to others: much if
-// its team is ahead of others, some if the job is large.
-func (p *Placer) reserve(q *queued) int {
+// reserve returns how much credit a job leaves to others at each agent: DebtReserve
+// if its team is ahead of others, Reserve if the job is large.
+func (p *Placer) reserve(q *queuedJob) int {
 	s := q.queue.service
 	switch {
-	case p.indebted(q.queue):
+	case p.aheadOfOthers(q.queue):
 		return p.limits.DebtReserve
-	case q.total/s.divisor > p.limits.LargeWork:
+	case q.total/s.slotDivisor > p.limits.LargeWork:
 		return p.limits.Reserve
 	}
 	return 0
 }
 
-// indebted reports whether a team is so far ahead of others that it yields to them.
-func (p *Placer) indebted(t *teamQueue) bool {
-	return t.used-t.service.virtual > yieldingDebt*p.limits.Quantum
+// aheadOfOthers reports whether a team has used so much more slot time than others that
+// it yields to them.
+func (p *Placer) aheadOfOthers(t *teamQueue) bool {
+	return t.virtualTime-t.service.virtualTime > yieldQuanta*p.limits.Quantum
 }
 
-// alike reports whether all jobs of a job's team need as much free credit as it.
-func (p *Placer) alike(q *queued) bool {
+// sameForTeam reports whether all jobs of a job's team need as much free credit as the
+// job itself.
+func (p *Placer) sameForTeam(q *queuedJob) bool {
 	t := q.queue
-	if q.deep {
-		return t.deep == t.waiting
+	if q.bulk {
+		return t.bulk == t.waiting
 	}
-	return t.deep == 0 && p.indebted(t)
+	return t.bulk == 0 && p.aheadOfOthers(t)
 }
 
-// yieldingDebt is by how many quanta a team must be ahead to leave DebtReserve.
-const yieldingDebt = 1
+// yieldQuanta is the number of quanta by which a team must be ahead to leave DebtReserve.
+const yieldQuanta = 1
 
-// pick returns the best agent that can hold the task now, or nil. It is full if no
-// agent has the credit for a task of the job, however little it needs.
-func (p *Placer) pick(s *service, q *queued, need Requirements) (best *seat, full bool) {
+// pick returns the best agent that can take the task now, or nil. It reports full if no
+// agent has the credit for a task of the job, whatever the task's requirements.
+func (p *Placer) pick(s *service, q *queuedJob, requirements Requirements) (best *membership, full bool) {
 	reserve := p.reserve(q)
-	for i, seat := range s.seats.items {
-		if i >= maxTried {
+	for i, member := range s.available.items {
+		if i >= maxCandidates {
 			break
 		}
-		if !p.takes(seat.agent, q, reserve) {
-			if p.output.sendsNothing() && seat.agent.health.state != stateProbing {
-				// The others have less free credit, and no message goes to them.
+		if !p.hasCredit(member.agent, q, reserve) {
+			if p.output.sendsNothing() && member.agent.health.state != stateProbing {
+				// The remaining agents have less free credit, and no message goes to them.
 				return best, best == nil
 			}
 			continue
 		}
-		if !seat.agent.holds(need) {
+		if !member.agent.fits(requirements) {
 			continue
 		}
 		if i == 0 {
-			return seat, false
+			return member, false
 		}
-		if best == nil || seatBefore(seat, best) {
-			best = seat
+		if best == nil || membershipBefore(member, best) {
+			best = member
 		}
 	}
 	return best, false
 }
 
-// takes reports whether the credits of an agent let it take a task of a job now.
-func (p *Placer) takes(a *agent, q *queued, reserve int) bool {
-	if q.deep {
-		return p.takesDeep(q.queue.service, a)
+// hasCredit reports whether an agent has the credit for a task of a job now.
+func (p *Placer) hasCredit(a *agent, q *queuedJob, reserve int) bool {
+	if q.bulk {
+		return p.hasBulkCredit(q.queue.service, a)
 	}
-	return a.free() > 0 && (reserve == 0 || p.leavesReserve(a, reserve))
+	return a.freeCredit() > 0 && (reserve == 0 || p.leavesReserve(a, reserve))
 }
 
-// leavesReserve reports whether an agent can take a task and have credit left for
-// others. Unless a message goes there anyway, it must be able to take several, so
-// that what waits long goes in few batches. An agent that has set no credit has
-// no room for starts to wait, so nothing is reserved there.
+// leavesReserve reports whether an agent can take a task and keep the reserve free for
+// others. Unless the current dispatch sends it a message anyway, it must be able to take
+// a whole batch, so that tasks that wait long travel in few messages. At an agent that
+// has set no credit no start may wait, so nothing is reserved there.
 func (p *Placer) leavesReserve(a *agent, reserve int) bool {
-	if !a.credited {
+	if !a.creditSet {
 		return true
 	}
 	if a.dispatch != p.output.dispatch {
 		reserve += p.limits.Batch
 	}
-	return a.free() > min(reserve, a.credit-1)
+	return a.freeCredit() > min(reserve, a.credit-1)
 }
 
-// sendsNothing reports whether the running dispatch has placed no task yet.
+// sendsNothing reports whether the current dispatch has scheduled no task yet.
 func (o *output) sendsNothing() bool { return len(o.assignments) == 0 }
 
 func (o *output) reset() {
@@ -252,8 +254,8 @@
 	o.tasks = o.tasks[:0]
 }
 
-// add adds a task to the agent's batch of the job, or begins one.
-func (o *output) add(q *queued, a *agent, index uint16, work time.Duration) {
+// add adds a task to the agent's batch of the job and creates the batch if necessary.
+func (o *output) add(q *queuedJob, a *agent, index uint16, work time.Duration) {
 	i := -1
 	if a.dispatch == o.dispatch {
 		i = a.batch
@@ -273,7 +275,7 @@
 	o.placements = append(o.placements, placement{assignment: i, index: index})
 }
 
-// gather lays out the tasks of each assignment.
+// gather fills in the tasks of each assignment and returns the assignments.
 func (o *output) gather() []Assignment {
 	if cap(o.tasks) < len(o.placements) {
 		o.tasks = make([]uint16, 0, 2*len(o.placements))
--- a/internal/placer/estimate.go
+++ b/internal/placer/estimate.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// estimate is what the results of a service say about its tasks. Declared values
-// are the first guess. The run time of a task is either its declared value times
-// the usual error of declarations, or the usual run time, whichever has been
-// nearer to the truth.
+// estimate predicts the run time and memory of a service's tasks from earlier results.
+// Until there are minSamples results, the declared values are used. The expected run
+// time of a task is either its declared value times the mean ratio of actual to declared
+// run time, or the mean run time, whichever has had the smaller error.
 type estimate struct {
-	minSamples int
-	samples    int
-	usual      float64 // usual is the mean run time in seconds.
-	ratio      float64 // ratio is the mean of true by declared run time, on a log scale.
-	usualError float64 // usualError is the mean error of usual, on a log scale.
-	ratioError float64 // ratioError is the mean error of declared times ratio, on a log scale.
-	memory     float64 // memory is the usual peak in bytes; 0 if none was reported.
-	memoryDev  float64 // memoryDev is the mean deviation from memory.
-	peaks      int     // peaks counts the reports of memory.
+	minSamples      int
+	samples         int
+	mean            float64 // mean run time in seconds
+	ratio           float64 // mean logarithm of actual by declared run time
+	meanError       float64 // mean absolute error of mean, on a log scale
+	ratioError      float64 // mean absolute error of declared times ratio, on a log scale
+	meanMemory      float64 // mean peak in bytes; 0 if none was reported
+	memoryDeviation float64 // mean absolute deviation from meanMemory
+	peaks           int     // number of results with a memory peak
 }
 
 const (
@@ -27,7 +27,7 @@
 	memoryMargin   = 4
 )
 
-// runTime returns the expected run time of a task with a declared one.
+// runTime returns the expected run time of a task with a declared run time.
 func (e *estimate) runTime(declared time.Duration) time.Duration {
 	if e.samples < e.minSamples {
 		if declared <= 0 {
@@ -35,38 +35,39 @@
 		}
 		return declared
 	}
-	if declared <= 0 || e.usualError < e.ratioError {
-		return seconds(e.usual)
+	if declared <= 0 || e.meanError < e.ratioError {
+		return seconds(e.mean)
 	}
 	return seconds(declared.Seconds() * math.Exp(e.ratio))
 }
 
-// usualRunTime returns the mean run time of the service's tasks.
-func (e *estimate) usualRunTime() time.Duration {
+// meanRunTime returns the mean run time of the service's tasks, or 0 if there are too
+// few results.
+func (e *estimate) meanRunTime() time.Duration {
 	if e.samples < e.minSamples {
 		return 0
 	}
-	return seconds(e.usual)
+	return seconds(e.mean)
 }
 
-// memoryBytes returns the memory to set aside for a task with a declared need.
+// memoryBytes returns the memory to reserve for a task that declares an amount.
 func (e *estimate) memoryBytes(declared int64) int64 {
 	if e.peaks < e.minSamples {
 		return declared
 	}
-	return int64(e.memory + memoryMargin*e.memoryDev)
+	return int64(e.meanMemory + memoryMargin*e.memoryDeviation)
 }
 
-// usualMemory returns the memory that a task usually takes at its peak, without the
-// margin that is set aside.
-func (e *estimate) usualMemory(declared int64) int64 {
+// meanPeakMemory returns the mean memory peak of the service's tasks, without the margin
+// that reservations include.
+func (e *estimate) meanPeakMemory(declared int64) int64 {
 	if e.peaks < e.minSamples {
 		return declared
 	}
-	return int64(e.memory)
+	return int64(e.meanMemory)
 }
 
-// learn applies the true values of a task.
+// learn updates the estimate with the actual run time and memory peak of a task.
 func (e *estimate) learn(declared, actual time.Duration, peak int64) {
 	if actual > 0 {
 		e.learnRunTime(declared, actual)
@@ -74,10 +75,10 @@
 	if peak > 0 {
 		e.peaks++
 		rate := max(learnRate, 1/float64(e.peaks))
-		e.memoryDev += rate * (math.Abs(float64(peak)-e.memory) - e.memoryDev)
-		e.memory += rate * (float64(peak) - e.memory)
+		e.memoryDeviation += rate * (math.Abs(float64(peak)-e.meanMemory) - e.memoryDeviation)
+		e.meanMemory += rate * (float64(peak) - e.meanMemory)
 		if e.peaks == 1 {
-			e.memoryDev = 0
+			e.memoryDeviation = 0
 		}
 	}
 }
@@ -86,10 +87,10 @@
 	e.samples++
 	rate := max(learnRate, 1/float64(e.samples))
 	truth := math.Log(actual.Seconds())
-	if e.usual > 0 {
-		e.usualError += rate * (math.Abs(truth-math.Log(e.usual)) - e.usualError)
+	if e.mean > 0 {
+		e.meanError += rate * (math.Abs(truth-math.Log(e.mean)) - e.meanError)
 	}
-	e.usual += rate * (actual.Seconds() - e.usual)
+	e.mean += rate * (actual.Seconds() - e.mean)
 	if declared <= 0 {
 		return
 	}
--- a/internal/placer/health.go
+++ b/internal/placer/health.go
@@ -7,53 +7,53 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// HealthState is what the placer makes of an agent's results.
+// HealthState is the health of an agent, judged by its results.
 type HealthState string
 
 // The states of agents.
 const (
 	stateNormal    HealthState = "normal"
-	stateReturning HealthState = "returning" // The agent is new or comes back and gets few tasks.
+	stateReturning HealthState = "returning" // The agent is new or was ejected and is in slow start.
 	stateEjected   HealthState = "ejected"   // The agent gets no task.
-	stateProbing   HealthState = "probing"   // The agent gets one task, to see how it ends.
+	stateProbing   HealthState = "probing"   // The agent gets one task, whose result decides.
 )
 
-// EjectReason says why an agent is ejected.
+// EjectReason is the reason for the ejection of an agent.
 type EjectReason string
 
 // The reasons of ejection.
 const (
 	EjectFailing EjectReason = "failing" // Its tasks fail.
-	EjectSlow    EjectReason = "slow"    // Its tasks take much longer than elsewhere.
+	EjectSlow    EjectReason = "slow"    // Its tasks take much longer than at other agents.
 )
 
-// health is what the results of one agent say about it.
+// health is the state of one agent, judged by its results.
 type health struct {
-	state     HealthState
-	allowed   int // allowed bounds the outstanding tasks beside the credit.
-	reason    EjectReason
-	probeAt   time.Time // probeAt is when the next probe is due; zero if none is.
-	pause     time.Duration
-	successes int     // successes counts those since allowed was raised.
-	streak    int     // streak counts failures in a row.
-	samples   int     // samples counts results.
-	failures  float64 // failures is the recent share of failures.
-	slowness  float64 // slowness is the recent mean of run time by expected run time, on a log scale.
-	timed     int     // timed counts the samples of slowness.
+	state           HealthState
+	maxOutstanding  int // bounds the outstanding tasks in addition to the credit
+	reason          EjectReason
+	probeAt         time.Time // time of the next probe; zero if none is due
+	probeBackoff    time.Duration
+	successes       int     // successes since maxOutstanding was last raised
+	streak          int     // consecutive failures
+	samples         int     // number of results
+	failures        float64 // recent share of failures, from 0 to 1
+	slowness        float64 // recent mean logarithm of run time by expected run time
+	slownessSamples int     // number of samples in slowness
 }
 
 const (
-	failureRate   = 1.0 / 16
-	slownessRate  = 0.25
-	minRatio      = 10 // minRatio is the number of results from which FailureRatio counts.
-	minTimed      = 3
-	unlimited     = 1 << 30
-	minPeers      = 2 // minPeers is the number of agents without which none is ejected.
-	badServiceMin = 2
+	failureRate        = 1.0 / 16
+	slownessRate       = 0.25
+	minRatioSamples    = 10 // number of results below which FailureRatio is not applied
+	minSlownessSamples = 3
+	unlimited          = 1 << 30
+	minServing         = 2 // with fewer serving agents, none is ejected
+	minFailingAgents   = 2
 )
 
 // observe applies the end of a task to the health of its agent.
-func (p *Placer) observe(now time.Time, s *seat, e *End, expected time.Duration) {
+func (p *Placer) observe(now time.Time, s *membership, e *End, expected time.Duration) {
 	failed := e.Kind == messenger.ResultFailed
 	s.samples++
 	if failed {
@@ -70,24 +70,25 @@
 	if failed {
 		h.streak++
 		h.failures += rate * (1 - h.failures)
-		p.failedAt(now, s.agent)
+		p.applyFailure(now, s.agent)
 		return
 	}
 	h.streak = 0
 	h.failures -= rate * h.failures
 	if expected > 0 && e.RunTime > 0 {
-		h.timed++
-		h.slowness += max(slownessRate, 1/float64(h.timed)) * (math.Log(e.RunTime.Seconds()/expected.Seconds()) - h.slowness)
+		h.slownessSamples++
+		h.slowness += max(slownessRate, 1/float64(h.slownessSamples)) * (math.Log(e.RunTime.Seconds()/expected.Seconds()) - h.slowness)
 	}
-	slow := h.timed >= minTimed || h.state == stateProbing && h.reason == EjectSlow
+	slow := h.slownessSamples >= minSlownessSamples || h.state == stateProbing && h.reason == EjectSlow
 	if slow && h.slowness >= math.Log(p.limits.SlowFactor) {
 		p.eject(now, s.agent, EjectSlow)
 		return
 	}
-	p.succeededAt(s.agent)
+	p.applySuccess(s.agent)
 }
 
-// failsEverywhere reports whether the service and not an upstream is at fault.
+// failsEverywhere reports whether the service fails at most of its agents, so that no
+// single upstream is at fault.
 func (s *service) failsEverywhere() bool {
 	failing, sampled := 0, 0
 	for _, m := range s.members {
@@ -99,27 +100,27 @@
 			failing++
 		}
 	}
-	return failing >= badServiceMin && 2*failing > sampled
+	return failing >= minFailingAgents && 2*failing > sampled
 }
 
-func (p *Placer) failedAt(now time.Time, a *agent) {
+func (p *Placer) applyFailure(now time.Time, a *agent) {
 	h := &a.health
 	switch h.state {
 	case stateProbing:
 		p.eject(now, a, EjectFailing)
 	case stateNormal, stateReturning:
 		if h.streak >= p.limits.FailureStreak ||
-			h.samples >= minRatio && h.failures >= p.limits.FailureRatio {
+			h.samples >= minRatioSamples && h.failures >= p.limits.FailureRatio {
 			p.eject(now, a, EjectFailing)
 		}
 	}
 }
 
-func (p *Placer) succeededAt(a *agent) {
+func (p *Placer) applySuccess(a *agent) {
 	h := &a.health
 	if h.state == stateProbing {
 		h.state = stateReturning
-		h.allowed = 1
+		h.maxOutstanding = 1
 		h.successes = 0
 		h.failures = 0
 		h.reason = ""
@@ -129,19 +130,19 @@
 		return
 	}
 	h.successes++
-	if h.successes < h.allowed {
+	if h.successes < h.maxOutstanding {
 		return
 	}
 	h.successes = 0
-	h.allowed *= 2
-	if h.allowed >= a.capacity.Slots {
-		h.allowed = unlimited
+	h.maxOutstanding *= 2
+	if h.maxOutstanding >= a.capacity.Slots {
+		h.maxOutstanding = unlimited
 		h.state = stateNormal
-		h.pause = 0
+		h.probeBackoff = 0
 	}
 }
 
-// eject gives an agent no more tasks until a probe, unless too many are ejected.
+// eject stops scheduling on an agent until a probe, unless too many are ejected.
 func (p *Placer) eject(now time.Time, a *agent, reason EjectReason) {
 	h := &a.health
 	if h.state != stateEjected && h.state != stateProbing {
@@ -152,24 +153,24 @@
 		p.ejected++
 	}
 	h.state = stateEjected
-	h.allowed = 0
+	h.maxOutstanding = 0
 	h.reason = reason
 	h.streak = 0
-	h.timed = 0
+	h.slownessSamples = 0
 	h.slowness = 0
-	h.pause = min(max(2*h.pause, p.limits.ProbeAfter), p.limits.MaxProbeAfter)
-	h.probeAt = now.Add(h.pause)
+	h.probeBackoff = min(max(2*h.probeBackoff, p.limits.ProbeAfter), p.limits.MaxProbeAfter)
+	h.probeAt = now.Add(h.probeBackoff)
 }
 
 func (p *Placer) mayEject() bool {
 	serving := p.Serving()
-	if serving < minPeers {
+	if serving < minServing {
 		return false
 	}
 	return p.ejected+1 <= max(1, int(p.limits.MaxEjectedRatio*float64(serving)))
 }
 
-// probeDue lets ejected agents whose time has come take one task.
+// probeDue starts probing the ejected agents whose probe is due.
 func (p *Placer) probeDue(now time.Time) {
 	if p.ejected == 0 {
 		return
@@ -178,14 +179,14 @@
 		h := &a.health
 		if h.state == stateEjected && !h.probeAt.IsZero() && !now.Before(h.probeAt) {
 			h.state = stateProbing
-			h.allowed = len(a.sent) + 1
+			h.maxOutstanding = len(a.sent) + 1
 			p.rerank(a)
 		}
 	}
 }
 
-// Restore lets an ejected agent take tasks again, at first few. It reports
-// whether the agent is known.
+// Restore ends the ejection of an agent and puts it into slow start. It reports whether
+// the agent is known.
 func (p *Placer) Restore(_ time.Time, peer messenger.Peer) bool {
 	a := p.agents[peer]
 	if a == nil {
@@ -193,7 +194,7 @@
 	}
 	if a.health.state == stateEjected || a.health.state == stateProbing {
 		p.ejected--
-		a.health = health{state: stateReturning, allowed: p.limits.SlowStart}
+		a.health = health{state: stateReturning, maxOutstanding: p.limits.SlowStart}
 	}
 	p.rerank(a)
 	return true
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -5,12 +5,12 @@
 // queue only when an agent that serves it has a free credit and enough free
 // memory and accelerators, so it binds to an agent as late as possible. Teams
 // take turns by the slot time they have used; the jobs of a team are ordered by
-// the work that is left of them and by their age. Agents are ranked by free
-// credit in a heap a service, so that a decision takes logarithmic time.
+// their remaining work and their age. Each service keeps its agents in a heap by
+// free credit, so that a decision takes logarithmic time.
 //
-// The results of tasks correct what callers declare, eject agents that fail or
-// are slow, and give back credits. The package does no I/O: events come in with
-// a time, and [Placer.Dispatch] returns what to send.
+// Task results correct the requirements that callers declare, eject agents that
+// fail or are slow, and free credits. The package does no I/O: its callers pass in
+// events with their time, and [Placer.Dispatch] returns the tasks to send.
 package placer
 
 import (
@@ -24,24 +24,24 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Need is what a task takes while it runs, as declared.
+// Requirements are the run time and the resources that a caller declares for a task.
 type Requirements struct {
 	RunTime      time.Duration
 	MemoryBytes  int64
 	Accelerators int
 }
 
-// Job is a submission whose tasks are to be placed.
+// Job is a submission with tasks to schedule.
 type Job struct {
 	Submission   identifier.Submission
 	Service      string
 	Team         string
 	Deadline     time.Time
-	Requirements []Requirements // Needs has one entry a task of the submission.
-	Tasks        []uint16       // Tasks are those to place, in order.
+	Requirements []Requirements // one for each task of the submission, by task index
+	Tasks        []uint16       // indices of the tasks to schedule, in order
 }
 
-// Refusal says why a job is not taken. The zero value takes it.
+// Refusal is the reason why a job is not admitted. The zero value admits it.
 type Refusal struct {
 	Reason     submitter.Reason
 	Detail     string
@@ -53,11 +53,12 @@
 	Agent      messenger.Peer
 	Submission identifier.Submission
 	Tasks      []uint16
-	// Work is how long what is left of the job is expected to take on all slots.
+	// Work ranks the tasks among the starts that wait at the agent, the least first:
+	// the expected time of the job's work on all slots, see [Placer.startRank].
 	Work time.Duration
 }
 
-// Place is where an agent stands.
+// Location is the physical location of an agent.
 type Location struct {
 	Region     string
 	DataCentre string
@@ -79,48 +80,49 @@
 type Placer struct {
 	limits       Limits
 	agents       map[messenger.Peer]*agent
-	order        []*agent // order has the agents in order of arrival.
+	order        []*agent // in order of arrival
 	services     map[string]*service
 	serviceOrder []*service
 	teams        map[string]*team
-	entries      int // entries is the number of entries that divide the quotas.
+	entries      int // number of entries that share the quotas
 	quotas       []Quota
-	jobs         map[identifier.Submission]*queued
-	// open counts the outstanding tasks of each job. A job that was dropped has a
-	// negative count: how its tasks end says nothing about their agents.
-	open        map[identifier.Submission]int
-	holds       map[messenger.Peer]Hold
-	ejections   uint64 // ejections counts those by results, ever.
-	waiting     int    // waiting is the number of tasks that wait.
-	ejected     int    // ejected is the number of agents that are ejected or probed.
-	established bool
-	retries     *budgeter.Budgeter
-	delayed     []delayedTask // delayed has the tasks that are placed again later.
-	throttled   []*teamQueue  // throttled has the teams whose quota is used up.
-	started     time.Time     // started is the time of the first event.
-	sequence    uint64
-	output      output
+	jobs         map[identifier.Submission]*queuedJob
+	// outstandingTasks counts the outstanding tasks of each job. The count of a dropped
+	// job is negated: its results are not used to judge agents.
+	outstandingTasks map[identifier.Submission]int
+	holds            map[messenger.Peer]Hold
+	ejections        uint64 // total number of ejections because of results
+	waiting          int    // number of queued tasks
+	ejected          int    // number of agents that are ejected or being probed
+	hasResults       bool
+	retries          *budgeter.Budgeter
+	delayed          []delayedTask // tasks to reschedule after a backoff
+	throttled        []*teamQueue  // team queues whose quota is used up
+	started          time.Time     // time of the first event
+	sequence         uint64
+	output           output
 }
 
 // New returns a placer without agents.
 func New(limits Limits) *Placer {
 	limits = limits.withDefaults()
 	return &Placer{
-		limits:   limits,
-		agents:   make(map[messenger.Peer]*agent),
-		services: make(map[string]*service),
-		teams:    make(map[string]*team),
-		entries:  1,
-		jobs:     make(map[identifier.Submission]*queued),
-		open:     make(map[identifier.Submission]int),
-		retries:  budgeter.New(limits.RescheduleBudget, 1),
+		limits:           limits,
+		agents:           make(map[messenger.Peer]*agent),
+		services:         make(map[string]*service),
+		teams:            make(map[string]*team),
+		entries:          1,
+		jobs:             make(map[identifier.Submission]*queuedJob),
+		outstandingTasks: make(map[identifier.Submission]int),
+		retries:          budgeter.New(limits.RescheduleBudget, 1),
 	}
 }
 
-// Queued returns the number of tasks that wait.
+// Queued returns the number of tasks that wait, including those that wait for a
+// reschedule.
 func (p *Placer) Queued() int { return p.waiting + len(p.delayed) }
 
-// Serving returns the number of agents whose upstream takes work.
+// Serving returns the number of agents whose upstream accepts work.
 func (p *Placer) Serving() int {
 	n := 0
 	for _, a := range p.order {
@@ -131,20 +133,20 @@
 	return n
 }
 
-// AgentUp adds an agent, which serves nothing until its capacity is set. An
-// agent that comes later than the first task result starts with few tasks.
+// AgentUp adds an agent, which gets no tasks until its capacity is set. An agent
+// that connects after the first task result has arrived goes through a slow start.
 func (p *Placer) AgentUp(_ time.Time, peer messenger.Peer, place Location) {
 	p.AgentDown(time.Time{}, peer)
-	a := &agent{peer: peer, place: place, held: p.holds[peer], sent: make(map[taskRef]outstanding)}
-	a.health = health{state: stateNormal, allowed: unlimited}
-	if p.established {
-		a.health = health{state: stateReturning, allowed: p.limits.SlowStart}
+	a := &agent{peer: peer, place: place, hold: p.holds[peer], sent: make(map[taskRef]outstanding)}
+	a.health = health{state: stateNormal, maxOutstanding: unlimited}
+	if p.hasResults {
+		a.health = health{state: stateReturning, maxOutstanding: p.limits.SlowStart}
 	}
 	p.agents[peer] = a
 	p.order = append(p.order, a)
 }
 
-// AgentDown removes an agent and what was outstanding there.
+// AgentDown removes an agent and its outstanding tasks.
 func (p *Placer) AgentDown(_ time.Time, peer messenger.Peer) {
 	a := p.agents[peer]
 	if a == nil {
@@ -154,19 +156,19 @@
 		p.ejected--
 	}
 	for ref, o := range a.sent {
-		o.queue.service.sent -= o.expected
-		freeQuota(o.queue)
+		o.queue.service.outstandingWork -= o.expected
+		countEnd(o.queue)
 		p.closeTask(ref.submission)
 	}
 	a.capacity.Services = nil
 	a.capacity.State = messenger.UpstreamAbsent
-	p.reseat(a)
+	p.updateMemberships(a)
 	delete(p.agents, peer)
 	p.order = slices.DeleteFunc(p.order, func(o *agent) bool { return o == a })
 }
 
-// SetCapacity applies what an agent says about its upstream. Until the agent
-// sets a credit, every slot is one.
+// SetCapacity applies the capacity that an agent reports for its upstream. Until
+// the agent sets a credit, its credit is its number of slots.
 func (p *Placer) SetCapacity(_ time.Time, peer messenger.Peer, c messenger.Capacity) {
 	a := p.agents[peer]
 	if a == nil {
@@ -176,12 +178,12 @@
 	a.freeAccelerators += c.Accelerators - a.capacity.Accelerators
 	same := slices.Equal(a.capacity.Services, c.Services)
 	a.capacity = c
-	if !a.credited {
+	if !a.creditSet {
 		a.limit = c.Slots
 		a.credit = c.Slots
 	}
 	if !same {
-		p.reseat(a)
+		p.updateMemberships(a)
 	}
 	p.rerank(a)
 }
@@ -194,12 +196,12 @@
 	}
 	a.limit = limit
 	a.credit = limit
-	a.credited = true
+	a.creditSet = true
 	p.rerank(a)
 }
 
-// MemoryBytes returns the memory to set aside for a task of a service: what results
-// have taught, or else what is declared.
+// MemoryReservation returns the memory to reserve for a task of a service: the
+// estimate from earlier results, or the declared value if there are too few of them.
 func (p *Placer) MemoryReservation(service string, declared int64) int64 {
 	if s := p.services[service]; s != nil {
 		return s.learned.memoryBytes(declared)
@@ -207,9 +209,9 @@
 	return declared
 }
 
-// Enqueue takes the tasks of a job into the queue or says why not.
+// Enqueue admits a job and queues its tasks, or returns the reason for the refusal.
 func (p *Placer) Enqueue(now time.Time, j Job) Refusal {
-	p.touch(now)
+	p.recordStart(now)
 	s := p.service(j.Service)
 	if refusal := p.admit(now, s, &j); refusal.Reason != "" {
 		return refusal
@@ -218,7 +220,7 @@
 		return Refusal{}
 	}
 	p.sequence++
-	q := &queued{
+	q := &queuedJob{
 		job:      j,
 		waiting:  s.longestFirst(&j),
 		work:     s.workOf(&j, j.Tasks),
@@ -229,28 +231,28 @@
 	}
 	q.total = q.work
 	p.jobs[j.Submission] = q
-	p.add(q)
+	p.addJob(q)
 	return Refusal{}
 }
 
-// Drop removes the waiting tasks of a job.
+// Drop removes the queued tasks of a job.
 func (p *Placer) Drop(s identifier.Submission) {
 	p.delayed = slices.DeleteFunc(p.delayed, func(d delayedTask) bool { return d.job.Submission == s })
-	if n := p.open[s]; n > 0 {
-		p.open[s] = -n
+	if n := p.outstandingTasks[s]; n > 0 {
+		p.outstandingTasks[s] = -n
 	}
 	q := p.jobs[s]
 	if q == nil {
 		return
 	}
 	delete(p.jobs, s)
-	p.count(q, -len(q.waiting), -q.work)
-	p.takeOut(q)
+	p.adjustCounts(q, -len(q.waiting), -q.work)
+	p.removeJob(q)
 }
 
-// Ended applies the end of a task and frees its place.
+// Ended applies the end of a task and releases its credit and resources.
 func (p *Placer) Ended(now time.Time, e End) {
-	p.touch(now)
+	p.recordStart(now)
 	a := p.agents[e.Agent]
 	if a == nil {
 		return
@@ -259,7 +261,7 @@
 	if !ok {
 		return
 	}
-	freeQuota(o.queue)
+	countEnd(o.queue)
 	o.queue.service.ended(now, o.expected, e.RunTime)
 	dropped := p.closeTask(e.Submission)
 	switch {
@@ -267,10 +269,10 @@
 		a.refused(e.Refusal)
 	case dropped:
 		a.recovered()
-		p.charge(o.queue, e.RunTime-o.queue.service.learned.runTime(o.need.RunTime))
+		p.charge(o.queue, e.RunTime-o.queue.service.learned.runTime(o.reserved.RunTime))
 	default:
 		a.recovered()
-		p.learn(now, a, o, &e)
+		p.recordResult(now, a, o, &e)
 	}
 	p.rerank(a)
 }
@@ -286,65 +288,66 @@
 		if ref.submission != s || slices.Contains(started, ref.index) {
 			continue
 		}
-		p.vacate(now, a, ref, o)
+		p.releaseTask(now, a, ref, o)
 	}
 	p.rerank(a)
 }
 
-// Disown frees the places of tasks whose results will go to another entry.
+// ReleaseTransferred releases the outstanding tasks of the jobs for which gone
+// returns true: their results will go to another entry.
 func (p *Placer) ReleaseTransferred(now time.Time, gone func(identifier.Submission) bool) {
-	p.touch(now)
+	p.recordStart(now)
 	for _, a := range p.order {
 		for ref, o := range a.sent {
 			if gone(ref.submission) {
-				p.vacate(now, a, ref, o)
+				p.releaseTask(now, a, ref, o)
 			}
 		}
 		p.rerank(a)
 	}
 }
 
-// vacate frees the place of a task without a result.
-func (p *Placer) vacate(now time.Time, a *agent, ref taskRef, o outstanding) {
+// releaseTask releases the credit and resources of a task that ended without a result.
+func (p *Placer) releaseTask(now time.Time, a *agent, ref taskRef, o outstanding) {
 	a.release(ref)
-	freeQuota(o.queue)
+	countEnd(o.queue)
 	o.queue.service.ended(now, o.expected, 0)
 	p.closeTask(ref.submission)
 }
 
 // closeTask counts the end of a task and reports whether its job was dropped.
 func (p *Placer) closeTask(s identifier.Submission) bool {
-	n := p.open[s]
+	n := p.outstandingTasks[s]
 	switch n {
 	case -1, 0, 1:
-		delete(p.open, s)
+		delete(p.outstandingTasks, s)
 	default:
-		p.open[s] = n - n/max(n, -n)
+		p.outstandingTasks[s] = n - n/max(n, -n)
 	}
 	return n < 0
 }
 
-// learn applies what the result of a task that ran says about its service, its
-// agent and its team's use of slots.
-func (p *Placer) learn(now time.Time, a *agent, o outstanding, e *End) {
-	p.established = true
+// recordResult updates the estimates of the service, the health of the agent and the
+// slot time of the team with the result of a task that ran.
+func (p *Placer) recordResult(now time.Time, a *agent, o outstanding, e *End) {
+	p.hasResults = true
 	s := o.queue.service
-	expected := s.learned.runTime(o.need.RunTime)
+	expected := s.learned.runTime(o.reserved.RunTime)
 	p.charge(o.queue, e.RunTime-expected)
-	usual := s.learned.usualRunTime()
+	usual := s.learned.meanRunTime()
 	if usual > 0 {
 		usual = max(usual, expected)
 	}
 	if e.Kind == messenger.ResultDone && a.health.state != stateProbing && a.health.slowness < math.Log(p.limits.SlowFactor) {
-		s.learned.learn(o.need.RunTime, e.RunTime, e.PeakMemoryBytes)
+		s.learned.learn(o.reserved.RunTime, e.RunTime, e.PeakMemoryBytes)
 	}
-	if seat := findSeat(a.seats, s.name); seat != nil {
-		p.observe(now, seat, e, usual)
+	if member := findMembership(a.memberships, s.name); member != nil {
+		p.observe(now, member, e, usual)
 	}
 }
 
-// touch records the time of the first event, from which ages count.
-func (p *Placer) touch(now time.Time) {
+// recordStart records the time of the first event. The ages of jobs count from it.
+func (p *Placer) recordStart(now time.Time) {
 	if p.started.IsZero() {
 		p.started = now
 	}
