--- a/internal/enroller/declare.go
+++ b/internal/enroller/declare.go
@@ -8,29 +8,30 @@
 	"sardinelock.dev/sardinelock/internal/registrar"
 )
 
-// Declare returns the roster that follows when an operator declares agents dead,
-// and those of them that the roster does not know; if there are any, the roster is
-// not to be written.
+// Declare returns the roster after an operator has declared agents dead, and the
+// agents that the roster does not list. If there are any of these, the returned
+// roster must not be written.
 //
-// The agents are members no more and are never again: their names are those of one
-// run of a process. They stay among the departed, so that a takeover knows that
-// their records are missing. They also stay in the sets of witnesses, since former
-// owners may rely on these sets; a takeover does not wait for them there.
+// Agents that are declared dead stop being members and never become members again:
+// each name belongs to one run of a process. They stay in the departed list, so that
+// a takeover knows that their records are missing. They also stay in the witness
+// sets, because former owners may rely on these sets; a takeover does not wait for
+// them there.
 func Declare(current registrar.Roster, dead []messenger.Peer, now time.Time) (next registrar.Roster, unknown []messenger.Peer) {
 	next = current
 	next.Version++
 	next.Members = slices.Clone(current.Members)
 	next.Departed = slices.Clone(current.Departed)
 	for _, peer := range dead {
-		if !declare(&next, peer, now) {
+		if !declareDead(&next, peer, now) {
 			unknown = append(unknown, peer)
 		}
 	}
 	return next, unknown
 }
 
-// declare declares one agent dead. It returns false if the roster does not know it.
-func declare(r *registrar.Roster, peer messenger.Peer, now time.Time) bool {
+// declareDead declares one agent dead. It returns false if the roster does not list it.
+func declareDead(r *registrar.Roster, peer messenger.Peer, now time.Time) bool {
 	for i := range r.Departed {
 		if d := &r.Departed[i]; d.Peer == peer {
 			if d.DeclaredAt.IsZero() {
--- a/internal/enroller/enroller.go
+++ b/internal/enroller/enroller.go
@@ -1,12 +1,12 @@
 // Package enroller decides how a region's roster of agents changes.
 //
-// The roster has the agents that tasks may be given to, the witnesses among them
-// that leases rest on, and the agents that left and whose records may still
-// matter. A new owner of a partition asks all of them what they have started, so
-// an agent leaves the roster's memory only when no entry can still use it and the
-// deduplication window has passed since. Witnesses change in two steps: the former
-// ones stay named until every entry relies on the new ones, and until then a new
-// owner needs a majority of both.
+// The roster lists the member agents, which may be given tasks; the witnesses, which
+// are the members that leases depend on; and the departed agents, whose records may
+// still be needed. A new owner of a partition asks all of them which tasks they have
+// started, so a departed agent is removed from the roster only when no entry can use
+// it any more and the deduplication window has passed since. Witnesses change in two
+// steps: the previous witnesses stay listed until every entry uses the new ones, and
+// until then a new owner needs a majority of both sets.
 package enroller
 
 import (
@@ -20,32 +20,32 @@
 
 // Limits are the settings of an enroller.
 type Limits struct {
-	// GoneAfter is how long a member may be out of reach before it leaves.
+	// UnreachableTimeout is how long a member may be unreachable before it is removed.
 	UnreachableTimeout time.Duration
-	// WitnessGoneAfter is how long a witness may be out of reach before another
-	// member takes its place.
+	// WitnessUnreachableTimeout is how long a witness may be unreachable before
+	// another member replaces it.
 	WitnessUnreachableTimeout time.Duration
 	// Window is the deduplication window.
 	Window time.Duration
-	// Witnesses is the number of witnesses wanted; it is odd.
+	// Witnesses is the target number of witnesses. It must be odd.
 	Witnesses int
 }
 
-// Input is what a decision rests on.
+// Input holds the state that Propose decides on.
 type Input struct {
 	Current registrar.RegionRoster
 	// Connected are the agents of the region that are connected, sorted by name.
 	Connected []registrar.Member
-	// GoneFor returns how long a member that is not connected has been out of reach.
+	// UnreachableFor returns how long a member that is not connected has been unreachable.
 	UnreachableFor func(messenger.Peer) time.Duration
-	// Adopted is the lowest roster version that any entry of the region relies on.
+	// MinVersionInUse is the lowest roster version that any entry of the region uses.
 	MinVersionInUse uint64
 	// Now is the wall-clock time.
 	Now time.Time
 }
 
 // Propose returns the roster that should replace the current one, and false if
-// the current one is right.
+// nothing has to change.
 func Propose(limits Limits, in Input) (registrar.Roster, bool) {
 	next := registrar.Roster{
 		Version:           in.Current.Version + 1,
@@ -57,7 +57,7 @@
 	}
 	changed := addMembers(&next, in.Connected)
 	changed = removeMembers(&next, &limits, &in) || changed
-	changed = settleDeparted(&next, &limits, &in) || changed
+	changed = updateDeparted(&next, &limits, &in) || changed
 	changed = changeWitnesses(&next, &limits, &in) || changed
 	return next, changed
 }
@@ -76,8 +76,8 @@
 	return changed
 }
 
-// removeMembers moves members that are gone to the departed. A witness stays
-// until another has taken its place.
+// removeMembers moves members that have been unreachable for too long to the departed
+// list. A witness stays a member until another agent has replaced it.
 func removeMembers(r *registrar.Roster, limits *Limits, in *Input) bool {
 	before := len(r.Members)
 	r.Members = slices.DeleteFunc(r.Members, func(m registrar.Member) bool {
@@ -90,9 +90,9 @@
 	return len(r.Members) != before
 }
 
-// settleDeparted notes which departed agents no entry can use any more, and
-// forgets those of which the window has passed since.
-func settleDeparted(r *registrar.Roster, limits *Limits, in *Input) bool {
+// updateDeparted sets the settling time of departed agents that no entry can use any
+// more, and deletes those whose deduplication window has passed since then.
+func updateDeparted(r *registrar.Roster, limits *Limits, in *Input) bool {
 	changed := false
 	for i := range r.Departed {
 		d := &r.Departed[i]
@@ -103,14 +103,14 @@
 	}
 	before := len(r.Departed)
 	r.Departed = slices.DeleteFunc(r.Departed, func(d registrar.Departed) bool {
-		// What a takeover counts a witness by is here, so that a witness stays.
+		// A takeover looks up witnesses in the departed list, so witnesses stay in it.
 		return !d.SettledAt.IsZero() && in.Now.Sub(d.SettledAt) > limits.Window && !r.IsWitness(d.Peer)
 	})
 	return changed || len(r.Departed) != before
 }
 
-// changeWitnesses ends a change of witnesses that every entry has adopted, or
-// begins one. A change is not begun while another is under way.
+// changeWitnesses completes a change of witnesses that every entry has adopted, or
+// begins a new one. Only one change is in progress at a time.
 func changeWitnesses(r *registrar.Roster, limits *Limits, in *Input) bool {
 	if len(r.PreviousWitnesses) > 0 {
 		if in.MinVersionInUse < r.WitnessVersion {
@@ -129,35 +129,36 @@
 	return true
 }
 
-// chooseWitnesses keeps the witnesses that can be reached and fills up with
-// members of the data centres that have the fewest.
+// chooseWitnesses keeps the reachable witnesses and adds connected members of the data
+// centres with the fewest witnesses until the target number is reached. It keeps the
+// current witnesses if no agent qualifies.
 func chooseWitnesses(r *registrar.Roster, limits *Limits, in *Input) []messenger.Peer {
-	var out []messenger.Peer
+	var chosen []messenger.Peer
 	for _, w := range r.Witnesses {
 		if !r.IsRemoved(w) && (isConnected(in, w) || in.UnreachableFor(w) < limits.WitnessUnreachableTimeout) {
-			out = append(out, w)
+			chosen = append(chosen, w)
 		}
 	}
 	var candidates []registrar.Member
 	for _, m := range in.Connected {
-		if !slices.Contains(out, m.Peer) && !r.IsRemoved(m.Peer) {
+		if !slices.Contains(chosen, m.Peer) && !r.IsRemoved(m.Peer) {
 			candidates = append(candidates, m)
 		}
 	}
-	for len(out) < limits.Witnesses && len(candidates) > 0 {
-		i := fewestInDataCentre(r, out, candidates)
-		out = append(out, candidates[i].Peer)
+	for len(chosen) < limits.Witnesses && len(candidates) > 0 {
+		i := fewestInDataCentre(r, chosen, candidates)
+		chosen = append(chosen, candidates[i].Peer)
 		candidates = slices.Delete(candidates, i, i+1)
 	}
-	if len(out) == 0 {
+	if len(chosen) == 0 {
 		return r.Witnesses
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(chosen)
+	return chosen
 }
 
-// fewestInDataCentre returns the candidate whose data centre has the fewest of
-// the witnesses chosen so far; the first one if several have.
+// fewestInDataCentre returns the index of the first candidate whose data centre has
+// the fewest of the witnesses chosen so far.
 func fewestInDataCentre(r *registrar.Roster, chosen []messenger.Peer, candidates []registrar.Member) int {
 	count := func(m registrar.Member) int {
 		n := 0
--- a/internal/enroller/bequeath.go
+++ b/internal/enroller/transfer.go
@@ -7,8 +7,9 @@
 	"sardinelock.dev/sardinelock/internal/registrar"
 )
 
-// Bequeath returns the roster that follows when an agent leaves whose records
-// another member has, and false if one of the two is no member.
+// TransferRecords returns the roster in which an agent that has transferred its
+// records to a successor has departed. It returns the current roster and false if the
+// agent or the successor is not a member, or if they are the same.
 func TransferRecords(current registrar.Roster, agent, successor messenger.Peer) (registrar.Roster, bool) {
 	i, ok := slices.BinarySearchFunc(current.Members, agent, compareMember)
 	if !ok || agent == successor || !current.HasMember(successor) {
