--- a/internal/cataloguer/cataloguer_test.go
+++ b/internal/cataloguer/cataloguer_test.go
@@ -46,19 +46,19 @@
 	}
 	for _, bad := range [][]byte{nil, []byte("x"), b[:len(b)-1], {0xa0}} {
 		if _, err := Decode(bad); err == nil {
-			t.Errorf("%x was taken", bad)
+			t.Errorf("%x was accepted", bad)
 		}
 	}
 }
 
-func TestShelfNeverGoesBack(t *testing.T) {
+func TestOfferNeverLowersVersion(t *testing.T) {
 	var s Store
 	var got []bool
 	for _, v := range []uint64{3, 2, 3, 5, 4} {
 		got = append(got, s.Offer(&Catalogue{Version: v}))
 	}
 	if diff := cmp.Diff([]bool{true, false, false, true, false}, got); diff != "" {
-		t.Errorf("taken (-want +got):\n%s", diff)
+		t.Errorf("accepted versions (-want +got):\n%s", diff)
 	}
 	if v := s.InForce().Version; v != 5 {
 		t.Errorf("version %d is in force", v)
