--- a/internal/invoker/error.go
+++ b/internal/invoker/error.go
@@ -7,7 +7,7 @@
 	"github.com/juju/errors"
 )
 
-// Kind says what went wrong with a call.
+// Kind classifies an [Error].
 type Kind string
 
 // The kinds of errors of this package.
--- a/internal/invoker/invoker.go
+++ b/internal/invoker/invoker.go
@@ -1,9 +1,9 @@
-// Package invoker calls an upstream over HTTP, one request a task, and defines
+// Package invoker calls an upstream over HTTP with one request per task, and defines
 // the HTTP contract between an upstream and its agent.
 //
-// A task's request is sent at most once. net/http's Transport replays a request
-// on a new connection in some cases; it does so only if it can read the body
-// again, so every task's request has a body that can be read once only.
+// A task's request is sent at most once. The Transport of net/http replays a request
+// on a new connection in some cases, but only if it can read the body again, so the
+// body of a task's request can be read only once.
 package invoker
 
 import (
@@ -22,19 +22,19 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// The headers of a task's request.
+// The headers of a task's request and its answer.
 const (
 	HeaderSubmission = "Sardinelock-Submission-Id"
 	HeaderTask       = "Sardinelock-Task"
 	HeaderDeadline   = "Sardinelock-Deadline"
-	// HeaderPeakMemory is set by the upstream on its answer, in bytes.
+	// HeaderPeakMemory is set by the upstream in its answer; the value is in bytes.
 	HeaderPeakMemory = "Sardinelock-Peak-Memory-Bytes"
 )
 
-// AnnouncePath is where an agent accepts announcements of its upstream.
+// AnnouncePath is the path at which an agent accepts announcements of its upstream.
 const AnnouncePath = "/v1/upstream"
 
-// Announcement is what an upstream says about itself.
+// Announcement is an upstream's description of itself.
 type Announcement struct {
 	Address      netip.AddrPort     `json:"address"`
 	Services     []string           `json:"services"`
@@ -43,7 +43,7 @@
 	MemoryBytes  int64              `json:"memory-bytes"`
 	Accelerators int                `json:"accelerators"`
 	TimeToLive   submitter.Duration `json:"time-to-live"`
-	// Leaving says that the upstream takes no new work.
+	// Leaving is set if the upstream accepts no new work.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
@@ -54,17 +54,17 @@
 	Submission identifier.Submission
 	Task       uint16
 	Payload    []byte
-	// Deadline is told to the upstream; the context ends the request.
+	// Deadline is sent to the upstream. It does not limit the request; the context does.
 	Deadline time.Time
 }
 
 // Reply is a successful answer.
 type Reply struct {
 	Payload         []byte
-	PeakMemoryBytes int64 // PeakMemoryBytes is zero if the upstream reported nothing.
+	PeakMemoryBytes int64 // PeakMemoryBytes is 0 if the upstream did not report it.
 }
 
-// MaxReplyBytes bounds the result of one task.
+// MaxReplyBytes limits the size of a task's result.
 const MaxReplyBytes = 4 << 20
 
 const (
@@ -95,7 +95,7 @@
 // Close closes idle connections.
 func (i *Invoker) Close() { i.client.CloseIdleConnections() }
 
-// Call runs one task. Any error means that the task may have started: the kinds
+// Call runs one task. After any error the task may have started. The kinds of errors
 // are [KindUnreachable], [KindDeadline], [KindStatus] and [KindTooLarge].
 func (i *Invoker) Call(ctx context.Context, c Call) (Reply, error) {
 	const op = "call"
@@ -121,9 +121,9 @@
 	return Reply{Payload: payload, PeakMemoryBytes: peakMemory(resp.Header)}, nil
 }
 
-// readPayload reads at most one byte more than a reply may have. Results are kept
-// for a while, so that the memory of one is no larger than it has to be: io.ReadAll
-// alone would take 512 bytes for the smallest. A negative length is not known.
+// readPayload reads up to one byte more than MaxReplyBytes. A negative length is
+// unknown. Results are kept after the call, so the buffer is no larger than needed;
+// io.ReadAll alone would allocate 512 bytes for the smallest result.
 func readPayload(body io.Reader, length int64) ([]byte, error) {
 	limited := io.LimitReader(body, MaxReplyBytes+1)
 	if length < 0 || length > MaxReplyBytes {
@@ -135,7 +135,8 @@
 	return payload, err
 }
 
-// callError says whether a call ended because of its deadline.
+// callError returns an error of kind [KindDeadline] if the context's deadline has
+// passed, and of kind [KindUnreachable] otherwise.
 func callError(ctx context.Context, op string, err error) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return &Error{Op: op, Kind: KindDeadline, Err: context.DeadlineExceeded}
@@ -149,7 +150,7 @@
 		payload = []byte("null")
 	}
 	url := "http://" + c.Upstream.String() + c.Path
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, onceBody{bytes.NewReader(payload)})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, singleReadBody{bytes.NewReader(payload)})
 	if err != nil {
 		return nil, err
 	}
@@ -161,9 +162,9 @@
 	return req, nil
 }
 
-// onceBody hides the type of the reader from net/http, which would otherwise set
-// GetBody and with it allow a replay.
-type onceBody struct{ io.Reader }
+// singleReadBody hides the type of the reader from net/http, which would otherwise set
+// GetBody and could then replay the request.
+type singleReadBody struct{ io.Reader }
 
 func peakMemory(h http.Header) int64 {
 	n, err := strconv.ParseInt(h.Get(HeaderPeakMemory), 10, 64)
--- a/internal/invoker/payload_test.go
+++ b/internal/invoker/payload_test.go
@@ -9,13 +9,13 @@
 	"github.com/juju/errors"
 )
 
-// TestReadPayload checks what is read and what it takes in memory, with and without
-// a known length.
+// TestReadPayload checks the payload and the capacity of its buffer, with and without a
+// known length.
 func TestReadPayload(t *testing.T) {
 	for _, c := range []struct {
 		body   string
 		length int64
-		want   int // want is how many bytes are read.
+		want   int // want is the number of bytes read.
 		err    error
 	}{
 		{"", 0, 0, nil},
@@ -35,9 +35,9 @@
 		if diff := cmp.Diff(c.body[:c.want], string(payload)); diff != "" {
 			t.Errorf("length %d (-want +got):\n%s", c.length, diff)
 		}
-		// The allocator's size classes are at most an eighth larger, or 16 bytes.
-		if most := c.want + max(c.want/8, 16); cap(payload) > most {
-			t.Errorf("length %d: %d bytes are held, want at most %d", c.length, cap(payload), most)
+		// The allocator rounds a size up to its size class, by at most an eighth or 16 bytes.
+		if maxCap := c.want + max(c.want/8, 16); cap(payload) > maxCap {
+			t.Errorf("length %d: the buffer has %d bytes, want at most %d", c.length, cap(payload), maxCap)
 		}
 	}
 }
