--- a/cmd/sardinelock/cmd/load.go
+++ b/cmd/sardinelock/cmd/load.go
@@ -124,7 +124,7 @@
 		x.Arrival.Rate = l.rate
 	}
 	if l.process != "" {
-		x.Arrival.Process = loader.Process(l.process)
+		x.Arrival.Process = loader.ArrivalProcess(l.process)
 	}
 }
 
@@ -155,7 +155,7 @@
 	if err := system.AwaitReady(ctx); err != nil {
 		return nil, err
 	}
-	return loader.Run(ctx, x, loader.Embedded(system, &x), progress)
+	return loader.Run(ctx, x, loader.EmbeddedTarget(system, &x), progress)
 }
 
 // base returns the name of the base configuration, which the experiment names
@@ -177,7 +177,7 @@
 		t.Starts = loader.ReadStartLogs(l.startLogs)
 	}
 	if len(l.metrics) > 0 {
-		t.Messages = loader.ScrapeMessages(l.metrics)
+		t.PeerTraffic = loader.ScrapePeerTraffic(l.metrics)
 	}
 	return t
 }
--- a/cmd/sardinelock/cmd/survey.go
+++ b/cmd/sardinelock/cmd/survey.go
@@ -37,7 +37,7 @@
 		Example: `  sardinelock survey state`,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			slopes, err := surveyor.State()
+			slopes, err := surveyor.MeasureState()
 			if err != nil {
 				return err
 			}
@@ -57,7 +57,7 @@
 func (s *surveyFlags) register(c *cobra.Command, sizes []int, what string) {
 	f := c.Flags()
 	f.IntVar(&s.options.PID, "pid", 0, "process on this machine that is measured")
-	f.DurationVar(&s.options.Hold, "hold", 5*time.Second, "how long each size is measured")
+	f.DurationVar(&s.options.MeasurementDuration, "hold", 5*time.Second, "how long each size is measured")
 	f.IntSliceVar(&s.options.Sizes, "sizes", sizes, what)
 }
 
@@ -73,7 +73,7 @@
 	if s.options.PID <= 0 {
 		faults = append(faults, "--pid must be set")
 	}
-	if s.options.Hold < time.Second {
+	if s.options.MeasurementDuration < time.Second {
 		faults = append(faults, "--hold must be at least 1s")
 	}
 	if len(s.options.Sizes) < 4 {
@@ -96,7 +96,7 @@
 			if err := s.check(s.entry, s.admin); err != nil {
 				return err
 			}
-			slopes, err := surveyor.Agents(c.Context(), s.entry, s.admin, s.options)
+			slopes, err := surveyor.MeasureAgents(c.Context(), s.entry, s.admin, s.options)
 			if err != nil {
 				return err
 			}
@@ -120,7 +120,7 @@
 			if err := s.check(s.entry); err != nil {
 				return err
 			}
-			slopes, err := surveyor.Entries(c.Context(), s.entry, s.options)
+			slopes, err := surveyor.MeasureEntries(c.Context(), s.entry, s.options)
 			if err != nil {
 				return err
 			}
@@ -143,7 +143,7 @@
 			if err := s.check(s.entry, s.caller); err != nil {
 				return err
 			}
-			slopes, err := surveyor.Tasks(c.Context(), s.entry, s.caller, s.options)
+			slopes, err := surveyor.MeasureTasks(c.Context(), s.entry, s.caller, s.options)
 			if err != nil {
 				return err
 			}
@@ -157,7 +157,7 @@
 }
 
 func newSurveyReportCommand() *cobra.Command {
-	size := surveyor.LetterSize
+	size := surveyor.PlannedSize
 	var file string
 	c := &cobra.Command{
 		Use:     "report",
--- a/internal/loader/embedded.go
+++ b/internal/loader/embedded.go
@@ -8,14 +8,14 @@
 	"sardinelock.dev/sardinelock/internal/launcher"
 )
 
-// Embedded returns the target for a system in this process.
-func Embedded(s *launcher.System, x *Experiment) Target {
+// EmbeddedTarget returns the target for a system in this process.
+func EmbeddedTarget(s *launcher.System, x *Experiment) Target {
 	return Target{
 		Entries: s.CallerAddrs(),
 		Slots:   x.System.Agents * x.System.Slots,
-		Messages: func() Messages {
+		PeerTraffic: func() PeerTraffic {
 			t := s.Traffic()
-			return Messages{Count: t.MessagesSent, Bytes: t.BytesSent}
+			return PeerTraffic{Count: t.MessagesSent, Bytes: t.BytesSent}
 		},
 		Starts: func(into map[TaskRef]int) error {
 			starts := make(map[emulator.TaskRef]int)
--- a/internal/loader/experiment.go
+++ b/internal/loader/experiment.go
@@ -19,14 +19,14 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Process is how jobs arrive.
-type Process string
+// ArrivalProcess is how jobs arrive.
+type ArrivalProcess string
 
 // The arrival processes.
 const (
-	ProcessSteady  Process = "steady"  // Jobs arrive at equal distances.
-	ProcessPoisson Process = "poisson" // Distances are drawn from an exponential distribution.
-	ProcessBurst   Process = "burst"   // Jobs arrive in bursts of equal size at equal distances.
+	ArrivalSteady  ArrivalProcess = "steady"  // Jobs arrive at equal distances.
+	ArrivalPoisson ArrivalProcess = "poisson" // Distances are drawn from an exponential distribution.
+	ArrivalBurst   ArrivalProcess = "burst"   // Jobs arrive in bursts of equal size at equal distances.
 )
 
 // Bounds of an experiment.
@@ -46,7 +46,7 @@
 	Settle  time.Duration `yaml:"settle"`
 	System  System        `yaml:"system"`
 	Arrival Arrival       `yaml:"arrival"`
-	Jobs    []Mix         `yaml:"jobs"`
+	Jobs    []JobClass    `yaml:"jobs"`
 	// Teams submit jobs in turn at random; empty submits without a team.
 	Teams []string `yaml:"teams"`
 	// TokenSuffix makes the bearer token of a team from its name, as in the
@@ -77,15 +77,15 @@
 
 // Arrival is when jobs arrive.
 type Arrival struct {
-	Process Process `yaml:"process"`
+	Process ArrivalProcess `yaml:"process"`
 	// Rate is the mean number of jobs a second.
 	Rate float64 `yaml:"rate"`
 	// BurstSize is the number of jobs of a burst.
 	BurstSize int `yaml:"burst-size"`
 }
 
-// Mix is one kind of job. A range is drawn from evenly.
-type Mix struct {
+// JobClass is one kind of job. A range is drawn from evenly.
+type JobClass struct {
 	// Weight is the share of this kind among all weights.
 	Weight  float64       `yaml:"weight"`
 	Service string        `yaml:"service"`
@@ -163,8 +163,8 @@
 		Seed:     1,
 		Duration: 10 * time.Second,
 		System:   System{Entries: 3, Agents: 11},
-		Arrival:  Arrival{Process: ProcessPoisson, Rate: 20},
-		Jobs: []Mix{{
+		Arrival:  Arrival{Process: ArrivalPoisson, Rate: 20},
+		Jobs: []JobClass{{
 			Weight:     1,
 			Service:    "quote",
 			Tasks:      IntRange{1, 20},
@@ -201,7 +201,7 @@
 	fault(x.Arrival.Rate <= 0, "arrival: rate must be positive")
 	fault(x.Arrival.Rate*x.Duration.Seconds() > maxJobs, "arrival: more than %d jobs", maxJobs)
 	switch x.Arrival.Process {
-	case ProcessSteady, ProcessPoisson, ProcessBurst:
+	case ArrivalSteady, ArrivalPoisson, ArrivalBurst:
 	default:
 		fault(true, "arrival: process must be steady, poisson or burst, not %q", x.Arrival.Process)
 	}
@@ -241,7 +241,7 @@
 		x.System.Slots = slots
 	}
 	if x.Arrival.Process == "" {
-		x.Arrival.Process = ProcessSteady
+		x.Arrival.Process = ArrivalSteady
 	}
 	if x.Arrival.BurstSize == 0 {
 		x.Arrival.BurstSize = 1
@@ -259,7 +259,7 @@
 	}
 }
 
-func (m *Mix) valid() bool {
+func (m *JobClass) valid() bool {
 	return m.Weight > 0 && m.Service != "" &&
 		m.Tasks.Min >= 1 && m.Tasks.Max >= m.Tasks.Min && m.Tasks.Max <= submitter.MaxTasks &&
 		m.RunTime.Min >= 0 && m.RunTime.Max >= m.RunTime.Min &&
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -131,7 +131,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		x := DefaultExperiment()
 		x.Seed = rapid.Uint64().Draw(t, "seed")
-		x.Arrival.Process = rapid.SampledFrom([]Process{ProcessSteady, ProcessPoisson, ProcessBurst}).Draw(t, "process")
+		x.Arrival.Process = rapid.SampledFrom([]ArrivalProcess{ArrivalSteady, ArrivalPoisson, ArrivalBurst}).Draw(t, "process")
 		x.Arrival.BurstSize = rapid.IntRange(1, 20).Draw(t, "burst")
 		x.Arrival.Rate = rapid.Float64Range(1, 100).Draw(t, "rate")
 		if err := x.Complete(); err != nil {
--- a/internal/loader/records.go
+++ b/internal/loader/records.go
@@ -61,12 +61,12 @@
 	return lines.Err()
 }
 
-// ScrapeMessages returns a function that sums the messages that processes sent to
+// ScrapePeerTraffic returns a function that sums the messages that processes sent to
 // their peers, read from their metrics. A process that cannot be read counts 0.
-func ScrapeMessages(processes []netip.AddrPort) func() Messages {
+func ScrapePeerTraffic(processes []netip.AddrPort) func() PeerTraffic {
 	client := &http.Client{Timeout: scrapeTimeout}
-	return func() Messages {
-		var sum Messages
+	return func() PeerTraffic {
+		var sum PeerTraffic
 		for _, p := range processes {
 			m := scrape(client, p)
 			sum.Count += m.Count
@@ -76,21 +76,21 @@
 	}
 }
 
-func scrape(client *http.Client, process netip.AddrPort) Messages {
+func scrape(client *http.Client, process netip.AddrPort) PeerTraffic {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+process.String()+"/metrics", nil)
 	if err != nil {
-		return Messages{}
+		return PeerTraffic{}
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return Messages{}
+		return PeerTraffic{}
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Messages{}
+		return PeerTraffic{}
 	}
-	return Messages{Count: sumMetric(string(text), messagesMetric), Bytes: sumMetric(string(text), bytesMetric)}
+	return PeerTraffic{Count: sumMetric(string(text), messagesMetric), Bytes: sumMetric(string(text), bytesMetric)}
 }
 
 // sumMetric sums the samples of a counter over all its attributes.
--- a/internal/loader/result.go
+++ b/internal/loader/result.go
@@ -35,16 +35,16 @@
 type Result struct {
 	Experiment string             `json:"experiment"`
 	Seed       uint64             `json:"seed"`
-	Took       submitter.Duration `json:"took"`
+	Elapsed    submitter.Duration `json:"took"`
 	Jobs       int                `json:"jobs"`
 	Requests   int                `json:"requests"`
 	// Shed counts arrivals that were not sent because too many requests were outstanding.
 	Shed    int     `json:"shed"`
 	Answers []Count `json:"answers"`
-	// Complete is the latency of complete jobs, Other that of all other answers;
+	// CompleteLatency is the latency of complete jobs, OtherLatency that of all other answers;
 	// resubmissions are in neither.
-	Complete Latency `json:"complete-latency"`
-	Other    Latency `json:"other-latency"`
+	CompleteLatency Latency `json:"complete-latency"`
+	OtherLatency    Latency `json:"other-latency"`
 	// MeanRatio is the mean response time of complete jobs against the ideal's.
 	MeanRatio float64 `json:"mean-ratio-to-ideal"`
 	// RatioP50 and RatioP99 are quantiles of the ratio of each job.
@@ -76,12 +76,12 @@
 }
 
 // result gathers what the requests saw.
-func (r *runner) result(m Messages) (*Result, error) {
+func (r *runner) result(m PeerTraffic) (*Result, error) {
 	took := time.Since(r.begun)
 	out := &Result{
 		Experiment: r.experiment.Name,
 		Seed:       r.experiment.Seed,
-		Took:       submitter.Duration(took),
+		Elapsed:    submitter.Duration(took),
 		Jobs:       len(r.jobs),
 		Requests:   len(r.requests),
 		Shed:       r.shed,
@@ -162,7 +162,7 @@
 		wanted += best
 		out.points = append(out.points, point{r.jobs[q.job].at, q.latency, best})
 	}
-	out.Complete, out.Other = latencyOf(complete), latencyOf(other)
+	out.CompleteLatency, out.OtherLatency = latencyOf(complete), latencyOf(other)
 	if len(ratios) > 0 {
 		slices.Sort(ratios)
 		out.MeanRatio = float64(seen) / float64(wanted)
@@ -205,13 +205,13 @@
 func (r *Result) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "experiment\t%s, seed %d\n", r.Experiment, r.Seed)
-	fmt.Fprintf(t, "took\t%s\n", time.Duration(r.Took).Round(time.Millisecond))
+	fmt.Fprintf(t, "took\t%s\n", time.Duration(r.Elapsed).Round(time.Millisecond))
 	fmt.Fprintf(t, "requests\t%d for %d jobs, %d not sent\n", r.Requests, r.Jobs, r.Shed)
 	for _, c := range r.Answers {
 		fmt.Fprintf(t, "  %s\t%d\n", c.Answer, c.Count)
 	}
-	writeLatency(t, "latency of complete jobs", r.Complete)
-	writeLatency(t, "latency of other answers", r.Other)
+	writeLatency(t, "latency of complete jobs", r.CompleteLatency)
+	writeLatency(t, "latency of other answers", r.OtherLatency)
 	fmt.Fprintf(t, "response against ideal\tmean %.3f, p50 %.3f, p99 %.3f\n", r.MeanRatio, r.RatioP50, r.RatioP99)
 	fmt.Fprintf(t, "task starts\t%d, %.0f a second\n", r.Starts, r.StartsPerSecond)
 	if r.MessagesPerTask > 0 {
--- a/internal/loader/runner.go
+++ b/internal/loader/runner.go
@@ -81,14 +81,14 @@
 	r.begun = time.Now()
 	r.run(ctx)
 	after := r.messages()
-	return r.result(Messages{Count: after.Count - before.Count, Bytes: after.Bytes - before.Bytes})
+	return r.result(PeerTraffic{Count: after.Count - before.Count, Bytes: after.Bytes - before.Bytes})
 }
 
-func (r *runner) messages() Messages {
-	if r.target.Messages == nil {
-		return Messages{}
+func (r *runner) messages() PeerTraffic {
+	if r.target.PeerTraffic == nil {
+		return PeerTraffic{}
 	}
-	return r.target.Messages()
+	return r.target.PeerTraffic()
 }
 
 // run sends every job at its time and waits for the answers.
--- a/internal/loader/schedule.go
+++ b/internal/loader/schedule.go
@@ -26,7 +26,7 @@
 	entry    int             // entry is taken modulo the number of entries.
 	runTimes []time.Duration // runTimes are the true run times.
 	declared []time.Duration
-	mix      *Mix
+	mix      *JobClass
 	key      string // key is the request key; empty without one.
 	// duplicate and cancel are the delays of a resubmission and of a cancellation;
 	// zero means none.
@@ -59,7 +59,7 @@
 func arrivals(x *Experiment, random *rand.Rand) []time.Duration {
 	var out []time.Duration
 	size := 1
-	if x.Arrival.Process == ProcessBurst {
+	if x.Arrival.Process == ArrivalBurst {
 		size = x.Arrival.BurstSize
 	}
 	distance := float64(time.Second) * float64(size) / x.Arrival.Rate
@@ -69,7 +69,7 @@
 			out = append(out, at)
 		}
 		step := distance
-		if x.Arrival.Process == ProcessPoisson {
+		if x.Arrival.Process == ArrivalPoisson {
 			step *= random.ExpFloat64()
 		}
 		at += max(1, time.Duration(step))
@@ -100,7 +100,7 @@
 	return p
 }
 
-func drawMix(mixes []Mix, random *rand.Rand) *Mix {
+func drawMix(mixes []JobClass, random *rand.Rand) *JobClass {
 	sum := 0.0
 	for i := range mixes {
 		sum += mixes[i].Weight
--- a/internal/loader/target.go
+++ b/internal/loader/target.go
@@ -13,8 +13,8 @@
 	Task       int
 }
 
-// Messages are the messages between the system's own processes so far.
-type Messages struct {
+// PeerTraffic counts the messages between the system's own processes so far.
+type PeerTraffic struct {
 	Count uint64
 	Bytes uint64
 }
@@ -28,8 +28,8 @@
 	Slots int
 	// Token is a bearer token; empty sends none.
 	Token string
-	// Messages reads the messages so far; nil if they cannot be counted.
-	Messages func() Messages
+	// PeerTraffic reads the messages so far; nil if they cannot be counted.
+	PeerTraffic func() PeerTraffic
 	// Starts adds the number of starts of each task; nil if there are no records.
 	Starts func(into map[TaskRef]int) error
 	// Step carries out one step of the experiment; nil if the system is not under
--- a/internal/surveyor/capacity.go
+++ b/internal/surveyor/capacity.go
@@ -22,8 +22,8 @@
 	ChangesPerDay float64
 }
 
-// LetterSize is the size of the users' plan for two years.
-var LetterSize = Size{
+// PlannedSize is the size of the users' plan for two years.
+var PlannedSize = Size{
 	Agents:          900,
 	Entries:         20,
 	StartsPerSecond: 77_000,
@@ -46,15 +46,15 @@
 
 const secondsPerDay = 24 * 60 * 60
 
-// Line is one figure of a role at a size.
-type Line struct {
+// CapacityRow is one figure of a role at a size.
+type CapacityRow struct {
 	Role, Figure, Unit, Formula string
 	Value                       float64
 	Bound                       float64 // Bound is zero where the users state none.
 }
 
-// Over reports whether the value is beyond its bound.
-func (l Line) Over() bool { return l.Bound > 0 && l.Value > l.Bound }
+// ExceedsBound reports whether the value is beyond its bound.
+func (l CapacityRow) ExceedsBound() bool { return l.Bound > 0 && l.Value > l.Bound }
 
 // table finds slopes by name.
 type table struct {
@@ -86,8 +86,8 @@
 }
 
 // Capacity works out the figures of each role at a size. It returns an error of
-// kind [KindAbsent] that names the slopes that are missing.
-func Capacity(slopes []Slope, z Size) ([]Line, error) {
+// kind [KindMissingSlope] that names the slopes that are missing.
+func Capacity(slopes []Slope, z Size) ([]CapacityRow, error) {
 	t := &table{slopes: slopes}
 	lines := entryLines(t, z)
 	lines = append(lines, agentLines(t, z)...)
@@ -96,17 +96,17 @@
 	lines = append(lines, clientLines(t, z)...)
 	lines = append(lines, eventLines(t, z)...)
 	if len(t.absent) > 0 {
-		return nil, &Error{Op: "capacity", Kind: KindAbsent, Err: errors.New(strings.Join(t.absent, ", "))}
+		return nil, &Error{Op: "capacity", Kind: KindMissingSlope, Err: errors.New(strings.Join(t.absent, ", "))}
 	}
 	return lines, nil
 }
 
-func entryLines(t *table, z Size) []Line {
+func entryLines(t *table, z Size) []CapacityRow {
 	agents, entries := float64(z.Agents), float64(z.Entries)
 	starts := z.StartsPerSecond / entries
 	jobs := starts / z.TasksPerJob
 	keptJobs := jobs * z.WindowSeconds
-	return []Line{
+	return []CapacityRow{
 		{"entry", "idle processor time", "core", "entry-idle-core × agents", t.fit("entry-idle-core").At(agents), boundCore},
 		{"entry", "resident memory, idle", "MiB", "entry-resident × agents", t.fit("entry-resident").At(agents) / (1 << 20), boundBytes >> 20},
 		{"entry", "idle messages from and to agents", "1/s", "entry-idle-messages × agents", t.fit("entry-idle-messages").At(agents), 0},
@@ -135,12 +135,12 @@
 	return rows * z.ChangesPerDay / secondsPerDay
 }
 
-func agentLines(t *table, z Size) []Line {
+func agentLines(t *table, z Size) []CapacityRow {
 	entries := float64(z.Entries)
 	starts := z.StartsPerSecond / float64(z.Agents)
 	records := starts * z.WindowSeconds
 	perTask := t.fit("start-message-bytes").At(1) + t.fit("result-message-bytes").At(1)
-	return []Line{
+	return []CapacityRow{
 		{"agent", "idle processor time", "core", "agent-idle-core × entries", t.fit("agent-idle-core").At(entries), boundCore},
 		{"agent", "resident memory, idle", "MiB", "agent-resident × entries", t.fit("agent-resident").At(entries) / (1 << 20), boundBytes >> 20},
 		{"agent", "memory of records, one task a record", "MiB", "agent-record-bytes × starts/s × window", t.fit("agent-record-bytes").PerUnit * records / (1 << 20), boundBytes >> 20},
@@ -149,10 +149,10 @@
 	}
 }
 
-func storeLines(t *table, z Size) []Line {
+func storeLines(t *table, z Size) []CapacityRow {
 	entries := float64(z.Entries)
 	row := t.fit("partition-row-bytes")
-	return []Line{
+	return []CapacityRow{
 		{"table", "reads", "1/s", "store-reads × entries", t.fit("store-reads").At(entries), boundReads},
 		{"table", "writes at rest", "1/s", "store-writes × entries", t.fit("store-writes").At(entries), boundWrites},
 		{"table", "state: partitions", "B", "partition-row-bytes × 256", row.At(256), 0},
@@ -167,10 +167,10 @@
 // upstreams; it is chosen.
 const listingsPerSecond = 0.2
 
-func administrationLines(t *table, z Size) []Line {
+func administrationLines(t *table, z Size) []CapacityRow {
 	agents := float64(z.Agents)
 	spent := t.fit("listing-time").At(agents)
-	return []Line{
+	return []CapacityRow{
 		{"administration", "configuration versions kept a day", "MiB", "config-bytes × teams × changes a day",
 			t.fit("config-bytes").At(float64(z.Teams)) * z.ChangesPerDay / (1 << 20), 0},
 		{"administration", "processor time to read one version", "ms", "config-parse-time × teams", t.fit("config-parse-time").At(float64(z.Teams)) / 1e3, 0},
@@ -183,9 +183,9 @@
 // largestJob is the number of tasks of the largest job.
 const largestJob = 580
 
-func clientLines(t *table, z Size) []Line {
+func clientLines(t *table, z Size) []CapacityRow {
 	perJob := t.fit("client-job-time").At(z.TasksPerJob)
-	return []Line{
+	return []CapacityRow{
 		{"client library", "memory of the largest job in flight", "KiB", "client-job-bytes × 580", t.fit("client-job-bytes").At(largestJob) / (1 << 10), 0},
 		{"client library", "processor time of a job", "us", "client-job-time × tasks", perJob, 0},
 		{"client library", "processor time of all callers together", "core", "client-job-time × tasks × jobs/s", perJob * z.StartsPerSecond / z.TasksPerJob / 1e6, 0},
@@ -194,7 +194,7 @@
 }
 
 // eventLines has what failures and restarts cost, each as one event.
-func eventLines(t *table, z Size) []Line {
+func eventLines(t *table, z Size) []CapacityRow {
 	agents, entries := float64(z.Agents), float64(z.Entries)
 	join := t.fit("entry-join-time").PerUnit
 	joinBytes := t.fit("entry-join-bytes").PerUnit
@@ -202,7 +202,7 @@
 	jobs := z.StartsPerSecond / entries / z.TasksPerJob
 	kept := jobs * z.WindowSeconds
 	handover := t.fit("handover-message-bytes").PerUnit * kept
-	return []Line{
+	return []CapacityRow{
 		{"entry restarted", "bytes from and to agents", "MiB", "entry-join-bytes × agents", joinBytes * agents / (1 << 20), 0},
 		{"entry restarted", "its processor time for all agents to join", "s", "entry-join-time × agents", join * agents / 1e6, 0},
 		{"entry lost", "records that agents send its successors, one task a record", "1", "starts/s × window / entries", records, 0},
@@ -237,7 +237,7 @@
 		if l.Bound > 0 {
 			bound, verdict = number(l.Bound), "ok"
 		}
-		if l.Over() {
+		if l.ExceedsBound() {
 			verdict = fmt.Sprintf("**over, %.1f times**", l.Value/l.Bound)
 		}
 		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s |\n", l.Role, l.Figure, number(l.Value), l.Unit, bound, verdict, l.Formula)
@@ -249,7 +249,7 @@
 			points = append(points, number(p.Size)+": "+number(p.Value))
 		}
 		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s ± %s | %s |\n",
-			s.Name, s.Unit, s.Per, number(s.Fit.Base), number(s.Fit.PerUnit), number(s.Fit.Error), strings.Join(points, "; "))
+			s.Name, s.Unit, s.Per, number(s.Fit.Base), number(s.Fit.PerUnit), number(s.Fit.StandardError), strings.Join(points, "; "))
 	}
 	return b.String(), nil
 }
--- a/internal/surveyor/connections.go
+++ b/internal/surveyor/connections.go
@@ -28,12 +28,12 @@
 type Options struct {
 	// PID is the process that is measured; it runs on this machine.
 	PID int
-	// Hold is how long each size is measured after it has settled.
-	Hold        time.Duration
-	Sizes       []int
-	Limits      coordinator.Limits
-	AgentLimits guard.Limits
-	Logger      *log.Logger
+	// MeasurementDuration is how long each size is measured after it has settled.
+	MeasurementDuration time.Duration
+	Sizes               []int
+	Limits              coordinator.Limits
+	AgentLimits         guard.Limits
+	Logger              *log.Logger
 }
 
 const (
@@ -101,9 +101,9 @@
 	return sum
 }
 
-// Agents measures the entry with the given addresses for peers and for
+// MeasureAgents measures the entry with the given addresses for peers and for
 // administration by the number of idle agents that are connected to it.
-func Agents(ctx context.Context, entry, admin netip.AddrPort, o Options) ([]Slope, error) {
+func MeasureAgents(ctx context.Context, entry, admin netip.AddrPort, o Options) ([]Slope, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	c := &crowd{options: o, entries: []netip.AddrPort{entry}, upstream: httptest.NewServer(emulator.NewUpstream(emulator.UpstreamOptions{Slots: slots}))}
 	defer c.upstream.Close()
@@ -146,10 +146,10 @@
 	return m.slopes(), ctx.Err()
 }
 
-// Entries measures the agent process o.PID by the number of entries, which accept
+// MeasureEntries measures the agent process o.PID by the number of entries, which accept
 // peers at the given address and at the ports that follow it, and what entries
 // cost each other and the table. The agent must be connected to every entry.
-func Entries(ctx context.Context, first netip.AddrPort, o Options) ([]Slope, error) {
+func MeasureEntries(ctx context.Context, first netip.AddrPort, o Options) ([]Slope, error) {
 	f := &fleet{options: o, first: first, store: emulator.NewPlatform(1, emulator.Faults{})}
 	if _, err := launcher.StoreConfig(f.store, "", nil); err != nil {
 		return nil, errors.Trace(err)
--- a/internal/surveyor/error.go
+++ b/internal/surveyor/error.go
@@ -7,10 +7,10 @@
 
 // The kinds of errors of this package.
 const (
-	KindFormat  Kind = "format"
-	KindProcess Kind = "process"
-	KindSystem  Kind = "system"
-	KindAbsent  Kind = "absent-slope"
+	KindFormat       Kind = "format"
+	KindProcess      Kind = "process"
+	KindSystem       Kind = "system"
+	KindMissingSlope Kind = "absent-slope"
 )
 
 // Error is the error type of this package.
--- a/internal/surveyor/fit.go
+++ b/internal/surveyor/fit.go
@@ -6,8 +6,8 @@
 type Fit struct {
 	Base    float64 `json:"base"`
 	PerUnit float64 `json:"per-unit"`
-	// Error is the standard error of PerUnit. It is zero with fewer than three samples.
-	Error float64 `json:"error"`
+	// StandardError is the standard error of PerUnit. It is zero with fewer than three samples.
+	StandardError float64 `json:"error"`
 }
 
 // At returns the line's value at a size.
@@ -34,7 +34,7 @@
 	f := Fit{PerUnit: products / sizes}
 	f.Base = meanValue - f.PerUnit*meanSize
 	if n > 2 {
-		f.Error = math.Sqrt(residuals(samples, f) / (n - 2) / sizes)
+		f.StandardError = math.Sqrt(residuals(samples, f) / (n - 2) / sizes)
 	}
 	return f
 }
--- a/internal/surveyor/meters.go
+++ b/internal/surveyor/meters.go
@@ -53,7 +53,7 @@
 		return reading{}, err
 	}
 	from, begun := traffic(), time.Now()
-	timer.Sleep(ctx, o.Hold)
+	timer.Sleep(ctx, o.MeasurementDuration)
 	to, took := traffic(), time.Since(begun)
 	after, err := ReadUsage(o.PID)
 	if err != nil {
--- a/internal/surveyor/state.go
+++ b/internal/surveyor/state.go
@@ -41,8 +41,8 @@
 	memberCounts    = []int{11, 110, 300, 900}
 )
 
-// State measures the slopes that need no connections.
-func State() ([]Slope, error) {
+// MeasureState measures the slopes that need no connections.
+func MeasureState() ([]Slope, error) {
 	var out []Slope
 	out = append(out, recordSlopes()...)
 	out = append(out, jobSlopes()...)
--- a/internal/surveyor/surveyor_test.go
+++ b/internal/surveyor/surveyor_test.go
@@ -21,7 +21,7 @@
 				samples = append(samples, Sample{parseNumber(t, l.Arg("size")), parseNumber(t, l.Arg("value"))})
 			case "fit":
 				f := fitLine(samples)
-				fmt.Fprintf(&out, "base %.4f slope %.4f error %.4f at-100 %.4f\n", f.Base, f.PerUnit, f.Error, f.At(100))
+				fmt.Fprintf(&out, "base %.4f slope %.4f error %.4f at-100 %.4f\n", f.Base, f.PerUnit, f.StandardError, f.At(100))
 				samples = nil
 			case "usage":
 				u, err := parseUsage(blanks(l.Arg("stat")), blanks(l.Arg("statm")))
--- a/internal/surveyor/tasks.go
+++ b/internal/surveyor/tasks.go
@@ -24,9 +24,9 @@
 	taskTimeSpent = "1ms"
 )
 
-// Tasks measures the entry process o.PID by the tasks of a job: processor time,
+// MeasureTasks measures the entry process o.PID by the tasks of a job: processor time,
 // messages and bytes of one job. The sizes are tasks of a job.
-func Tasks(ctx context.Context, entry, caller netip.AddrPort, o Options) ([]Slope, error) {
+func MeasureTasks(ctx context.Context, entry, caller netip.AddrPort, o Options) ([]Slope, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	c := &crowd{options: o, entries: []netip.AddrPort{entry}, upstream: httptest.NewServer(emulator.NewUpstream(emulator.UpstreamOptions{Slots: slots}))}
 	defer c.upstream.Close()
@@ -49,7 +49,7 @@
 		if err := awaitComplete(ctx, caller, n); err != nil {
 			return nil, err
 		}
-		loaded, stop := context.WithTimeout(ctx, o.Hold)
+		loaded, stop := context.WithTimeout(ctx, o.MeasurementDuration)
 		failed := make(chan error, 1)
 		go func() { failed <- load(loaded) }()
 		r, err := measure(ctx, o, c.traffic)
