--- a/internal/administrator/administrator_test.go
+++ b/internal/administrator/administrator_test.go
@@ -31,52 +31,52 @@
 	scripter.Run(t, "testdata/*.txtar", runScript)
 }
 
-// bench is an administration API over entries that are made of their parts, and
-// the real client of a stand-in for the platform.
-type bench struct {
+// testAPI is an administration API over simulated entries with scripted answers. It
+// uses the real store client with an emulated platform.
+type testAPI struct {
 	t        *testing.T
 	now      time.Time
 	platform *emulator.Platform
 	faults   emulator.Faults
 	store    *storer.Client
 	parts    map[Call][]Part
-	// failPuts is how many writes of objects fail before they take effect.
+	// failPuts is the number of object writes that still fail without taking effect.
 	failPuts int
 	out      strings.Builder
 	mux      *http.ServeMux
 }
 
 func runScript(t *testing.T, lines []scripter.Line) string {
-	b := &bench{
+	a := &testAPI{
 		t:        t,
 		now:      time.Unix(1_700_000_000, 0).UTC(),
 		platform: emulator.NewPlatform(1, emulator.Faults{}),
 		parts:    make(map[Call][]Part),
 		mux:      http.NewServeMux(),
 	}
-	server := httptest.NewServer(b.platform.Handler())
+	server := httptest.NewServer(a.platform.Handler())
 	t.Cleanup(server.Close)
-	b.store = storer.New(netip.MustParseAddrPort(server.Listener.Addr().String()))
-	b.store.Sleep = func(context.Context, time.Duration) {}
-	New(b.options()).Register(b.mux)
+	a.store = storer.New(netip.MustParseAddrPort(server.Listener.Addr().String()))
+	a.store.Sleep = func(context.Context, time.Duration) {}
+	New(a.options()).Register(a.mux)
 	for _, l := range lines {
-		b.apply(l)
+		a.apply(l)
 	}
-	return b.out.String()
+	return a.out.String()
 }
 
-func (b *bench) options() Options {
+func (a *testAPI) options() Options {
 	return Options{
 		Authenticate: authenticate,
 		AskAll: func(_ context.Context, call Call, body []byte) []Part {
 			if call == CallHolds || call == CallCancelJobs {
-				fmt.Fprintf(&b.out, "  entries are told: %s %s\n", call, body)
+				fmt.Fprintf(&a.out, "  entries are told: %s %s\n", call, body)
 			}
-			return b.parts[call]
+			return a.parts[call]
 		},
 		AskOwner: func(_ context.Context, s identifier.Submission, call Call, _ []byte) Part {
-			fmt.Fprintf(&b.out, "  the owner is told: %s %s\n", call, s)
-			return b.parts[call][0]
+			fmt.Fprintf(&a.out, "  the owner is told: %s %s\n", call, s)
+			return a.parts[call][0]
 		},
 		Config: func() (*configurer.Config, uint64) {
 			return &configurer.Config{
@@ -84,24 +84,24 @@
 				Teams:    []configurer.Team{{Name: "order-desk", Slots: 10}},
 			}, 7
 		},
-		Read:    b.store.Read,
-		Write:   b.store.Write,
-		Object:  b.store.Object,
-		Objects: b.store.Objects,
+		Read:    a.store.Read,
+		Write:   a.store.Write,
+		Object:  a.store.Object,
+		Objects: a.store.Objects,
 		PutObject: func(ctx context.Context, key string, body []byte) error {
-			if b.failPuts > 0 {
-				b.failPuts--
+			if a.failPuts > 0 {
+				a.failPuts--
 				return &storer.Error{Op: "put-object", Kind: storer.KindUnavailable, Err: context.DeadlineExceeded}
 			}
-			return b.store.PutObject(ctx, key, body)
+			return a.store.PutObject(ctx, key, body)
 		},
-		Now:           func() time.Time { return b.now },
+		Now:           func() time.Time { return a.now },
 		Pause:         func(context.Context, time.Duration) {},
 		ConfigTimeout: 50 * time.Millisecond,
 	}
 }
 
-// authenticate takes the role of a request from its header.
+// authenticate takes the role of a request from its Role header.
 func authenticate(r *http.Request, roles ...authenticator.Role) (authenticator.Principal, *submitter.Problem) {
 	role := authenticator.Role(r.Header.Get("Role"))
 	for _, allowed := range roles {
@@ -112,77 +112,77 @@
 	return authenticator.Principal{}, &submitter.Problem{Status: http.StatusForbidden, Title: "the role does not allow this"}
 }
 
-func (b *bench) apply(l scripter.Line) {
+func (a *testAPI) apply(l scripter.Line) {
 	switch l.Verb {
 	case "entry":
-		b.part(CallEntry, l, Entry{Peer: messenger.Peer(l.Arg("peer")), State: EntryServing})
+		a.part(CallEntry, l, Entry{Peer: messenger.Peer(l.Arg("peer")), State: EntryServing})
 	case "upstream":
-		b.part(CallUpstreams, l, []Upstream{b.upstream(l)})
+		a.part(CallUpstreams, l, []Upstream{a.upstream(l)})
 	case "partition":
-		b.part(CallPartitions, l, []Partition{b.partition(l)})
+		a.part(CallPartitions, l, []Partition{a.partition(l)})
 	case "agent":
-		b.part(CallRoster, l, []RosterAgent{b.rosterAgent(l)})
+		a.part(CallRoster, l, []RosterAgent{a.rosterAgent(l)})
 	case "roster":
-		b.roster(l)
+		a.roster(l)
 	case "declared":
-		for _, r := range registrar.ReadRosters(b.platform.Read(registrar.RosterPrefix)) {
-			fmt.Fprintf(&b.out, "region %s version %d: members %d, declared %v\n", r.Region, r.Version, len(r.Members), r.DeclaredDead())
+		for _, r := range registrar.ReadRosters(a.platform.Read(registrar.RosterPrefix)) {
+			fmt.Fprintf(&a.out, "region %s version %d: members %d, declared %v\n", r.Region, r.Version, len(r.Members), r.DeclaredDead())
 		}
 	case "usage":
-		b.part(CallUsage, l, []Usage{{Service: "quote", Team: l.Arg("team"), OpenJobs: b.number(l, "open"), SentTasks: b.number(l, "sent")}})
+		a.part(CallUsage, l, []Usage{{Service: "quote", Team: l.Arg("team"), OpenJobs: a.number(l, "open"), SentTasks: a.number(l, "sent")}})
 	case "cancelled":
-		b.part(CallCancelJobs, l, Cancelled{Jobs: b.number(l, "jobs")})
+		a.part(CallCancelJobs, l, Cancelled{Jobs: a.number(l, "jobs")})
 	case "restored":
-		b.part(CallRestore, l, Restored{Ended: l.Arg("ended") == "true"})
+		a.part(CallRestore, l, Restored{Ended: l.Arg("ended") == "true"})
 	case "told":
-		b.part(CallHolds, l, nil)
+		a.part(CallHolds, l, nil)
 	case "owner":
-		b.part(CallCancelJob, l, b.reply(l))
+		a.part(CallCancelJob, l, a.reply(l))
 	case "counts":
-		b.counts(l)
+		a.counts(l)
 	case "snapshot":
-		b.snapshot(l)
+		a.snapshot(l)
 	case "store":
-		b.faults = emulator.Faults{Down: l.Arg("down") == "true"}
-		b.platform.SetFaults(b.faults)
+		a.faults = emulator.Faults{Down: l.Arg("down") == "true"}
+		a.platform.SetFaults(a.faults)
 	case "fail-puts":
-		b.failPuts = b.number(l, "count")
+		a.failPuts = a.number(l, "count")
 	case "wait":
-		b.now = b.now.Add(time.Duration(b.number(l, "seconds")) * time.Second)
+		a.now = a.now.Add(time.Duration(a.number(l, "seconds")) * time.Second)
 	case "holds":
-		for _, row := range b.platform.Read(HoldPrefix).Rows {
-			fmt.Fprintf(&b.out, "hold %s\n", row.Key)
+		for _, row := range a.platform.Read(HoldPrefix).Rows {
+			fmt.Fprintf(&a.out, "hold %s\n", row.Key)
 		}
 	case "entries":
-		b.parts[CallEntry] = nil
+		a.parts[CallEntry] = nil
 	case "gone":
-		b.parts[CallUpstreams] = nil
+		a.parts[CallUpstreams] = nil
 	case "GET", "POST":
-		b.request(l)
+		a.request(l)
 	default:
-		b.t.Fatalf("%s: unknown verb", l)
+		a.t.Fatalf("%s: unknown verb", l)
 	}
 }
 
-// part adds the part of an entry, or that it is silent.
-func (b *bench) part(call Call, l scripter.Line, v any) {
+// part adds the answer of an entry to a call, or a missing answer for silent=true.
+func (a *testAPI) part(call Call, l scripter.Line, v any) {
 	p := Part{Peer: messenger.Peer(l.Arg("peer"))}
 	if l.Arg("silent") == "true" {
 		p.Detail = "the entry did not answer"
 	} else {
-		p.Body = b.encode(v)
+		p.Body = a.encode(v)
 	}
-	b.parts[call] = append(b.parts[call], p)
+	a.parts[call] = append(a.parts[call], p)
 }
 
-func (b *bench) upstream(l scripter.Line) Upstream {
+func (a *testAPI) upstream(l scripter.Line) Upstream {
 	return Upstream{
 		Peer:        messenger.Peer(l.Arg("name")),
 		State:       messenger.UpstreamServing,
 		Services:    []string{"quote"},
 		Slots:       8,
-		Credit:      b.number(l, "credit"),
-		Outstanding: b.number(l, "outstanding"),
+		Credit:      a.number(l, "credit"),
+		Outstanding: a.number(l, "outstanding"),
 		Ejected:     l.Arg("ejected"),
 		EjectedBy:   len(l.Arg("ejected")) / max(1, len(l.Arg("ejected"))),
 		Hold:        placer.Hold(l.Arg("hold")),
@@ -190,32 +190,32 @@
 	}
 }
 
-func (b *bench) rosterAgent(l scripter.Line) RosterAgent {
+func (a *testAPI) rosterAgent(l scripter.Line) RosterAgent {
 	return RosterAgent{
 		Peer:        messenger.Peer(l.Arg("name")),
 		Region:      "ub",
-		Version:     uint64(b.number(l, "version")),
+		Version:     uint64(a.number(l, "version")),
 		State:       coordinator.AgentState(l.Arg("state")),
-		ConnectedTo: b.number(l, "connected"),
-		Fencing:     b.number(l, "fencing"),
+		ConnectedTo: a.number(l, "connected"),
+		Fencing:     a.number(l, "fencing"),
 	}
 }
 
-// roster writes the row of a region's roster.
-func (b *bench) roster(l scripter.Line) {
-	r := registrar.Roster{Version: uint64(b.number(l, "version"))}
+// roster writes the table row of a region's roster.
+func (a *testAPI) roster(l scripter.Line) {
+	r := registrar.Roster{Version: uint64(a.number(l, "version"))}
 	for _, name := range strings.Split(l.Arg("members"), ",") {
 		r.Members = append(r.Members, registrar.Member{Peer: messenger.Peer(name)})
 	}
-	b.platform.Write(storer.Transaction{RequestID: storer.NewRequestID(), Puts: []storer.Put{registrar.RosterPut(l.Arg("region"), r)}})
+	a.platform.Write(storer.Transaction{RequestID: storer.NewRequestID(), Puts: []storer.Put{registrar.RosterPut(l.Arg("region"), r)}})
 }
 
-func (b *bench) partition(l scripter.Line) Partition {
+func (a *testAPI) partition(l scripter.Line) Partition {
 	left := submitter.Duration(time.Second)
 	p := Partition{
-		Partition: identifier.Partition(b.number(l, "number")),
+		Partition: identifier.Partition(a.number(l, "number")),
 		Owner:     messenger.Peer(l.Arg("owner")),
-		Epoch:     uint64(b.number(l, "epoch")),
+		Epoch:     uint64(a.number(l, "epoch")),
 	}
 	if l.Arg("owner") == l.Arg("peer") {
 		p.LeaseLeft = &left
@@ -223,7 +223,7 @@
 	return p
 }
 
-func (b *bench) reply(l scripter.Line) JobReply {
+func (a *testAPI) reply(l scripter.Line) JobReply {
 	if l.Arg("found") != "true" {
 		return JobReply{}
 	}
@@ -233,44 +233,44 @@
 	}}
 }
 
-// recorded returns a snapshot with good and bad jobs.
-func (b *bench) recorded(l scripter.Line) []byte {
+// encodedSnapshot returns an encoded snapshot with good and bad jobs.
+func (a *testAPI) encodedSnapshot(l scripter.Line) []byte {
 	r := reporter.New()
-	for range b.number(l, "good") {
-		r.Record(b.now, reporter.Event{Service: "quote", Outcome: submitter.OutcomeComplete})
+	for range a.number(l, "good") {
+		r.Record(a.now, reporter.Event{Service: "quote", Outcome: submitter.OutcomeComplete})
 	}
-	for range b.number(l, "bad") {
-		r.Record(b.now, reporter.Event{Service: "quote", Outcome: submitter.OutcomeFailed, Reason: submitter.ReasonTaskFailed})
+	for range a.number(l, "bad") {
+		r.Record(a.now, reporter.Event{Service: "quote", Outcome: submitter.OutcomeFailed, Reason: submitter.ReasonTaskFailed})
 	}
-	s := r.Snapshot(b.now)
+	s := r.Snapshot(a.now)
 	s.Peer = l.Arg("peer")
 	s.Instance = l.Arg("instance")
 	s.Incomplete = strings.ReplaceAll(l.Arg("incomplete"), "-", " ")
 	text, err := s.Encode()
 	if err != nil {
-		b.t.Fatal(err)
+		a.t.Fatal(err)
 	}
 	return text
 }
 
-func (b *bench) counts(l scripter.Line) {
+func (a *testAPI) counts(l scripter.Line) {
 	p := Part{Peer: messenger.Peer(l.Arg("peer"))}
 	if l.Arg("silent") == "true" {
 		p.Detail = "the entry did not answer"
 	} else {
-		p.Body = b.recorded(l)
+		p.Body = a.encodedSnapshot(l)
 	}
-	b.parts[CallBurn] = append(b.parts[CallBurn], p)
+	a.parts[CallBurn] = append(a.parts[CallBurn], p)
 }
 
 // snapshot puts the snapshot of an entry into the object store.
-func (b *bench) snapshot(l scripter.Line) {
-	if err := b.store.PutObject(b.t.Context(), SnapshotPrefix+l.Arg("instance"), b.recorded(l)); err != nil {
-		b.t.Fatal(err)
+func (a *testAPI) snapshot(l scripter.Line) {
+	if err := a.store.PutObject(a.t.Context(), SnapshotPrefix+l.Arg("instance"), a.encodedSnapshot(l)); err != nil {
+		a.t.Fatal(err)
 	}
 }
 
-func (b *bench) request(l scripter.Line) {
+func (a *testAPI) request(l scripter.Line) {
 	r := httptest.NewRequest(l.Verb, l.Args[0], strings.NewReader(l.Arg("body")))
 	r.Header.Set("Role", "operator")
 	if role := l.Arg("role"); role != "" {
@@ -280,48 +280,48 @@
 		r.Header.Set(HeaderChangeID, "00000000-0000-0000-0000-00000000000"+id)
 	}
 	w := httptest.NewRecorder()
-	fmt.Fprintf(&b.out, "%s %s\n", l.Verb, l.Args[0])
-	b.mux.ServeHTTP(w, r)
-	fmt.Fprintf(&b.out, "  %d %s\n", w.Code, strings.TrimSpace(w.Body.String()))
+	fmt.Fprintf(&a.out, "%s %s\n", l.Verb, l.Args[0])
+	a.mux.ServeHTTP(w, r)
+	fmt.Fprintf(&a.out, "  %d %s\n", w.Code, strings.TrimSpace(w.Body.String()))
 }
 
-func (b *bench) encode(v any) []byte {
+func (a *testAPI) encode(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
-		b.t.Fatal(err)
+		a.t.Fatal(err)
 	}
 	return text
 }
 
-func (b *bench) number(l scripter.Line, name string) int {
+func (a *testAPI) number(l scripter.Line, name string) int {
 	n := 0
 	if text := l.Arg(name); text != "" {
 		if _, err := fmt.Sscanf(text, "%d", &n); err != nil {
-			b.t.Fatalf("%s: %v", l, err)
+			a.t.Fatalf("%s: %v", l, err)
 		}
 	}
 	return n
 }
 
-// TestLostAnswers makes changes over a platform that loses the answer to every
-// other write after it has taken effect: each change is made once, its record is
-// whole, and the state is that of the last change.
+// TestLostAnswers makes changes on a platform that loses the response to about half of
+// the writes after they have taken effect. Each change must be made once and have its
+// record, and the state must match the last change.
 func TestLostAnswers(t *testing.T) {
 	platform := emulator.NewPlatform(3, emulator.Faults{LoseAnswerRatio: 0.5})
 	server := httptest.NewServer(platform.Handler())
 	defer server.Close()
 	store := storer.New(netip.MustParseAddrPort(server.Listener.Addr().String()))
 	store.Sleep = func(context.Context, time.Duration) {}
-	b := &bench{t: t, store: store, now: time.Unix(1_700_000_000, 0), parts: map[Call][]Part{
+	a := &testAPI{t: t, store: store, now: time.Unix(1_700_000_000, 0), parts: map[Call][]Part{
 		CallUpstreams: {{Peer: "e1", Body: []byte(`[{"peer":"a1"}]`)}},
 	}}
 	mux := http.NewServeMux()
-	New(b.options()).Register(mux)
+	New(a.options()).Register(mux)
 	const changes = 40
 	for i := range changes {
 		action := []string{"drain", "undrain"}[i%2]
 		id := fmt.Sprintf("00000000-0000-0000-0000-%012d", i)
-		made := false
+		accepted := false
 		for range 20 {
 			r := httptest.NewRequest(http.MethodPost, "/v1/admin/upstreams/a1/"+action, nil)
 			r.Header.Set("Role", "operator")
@@ -329,14 +329,14 @@
 			w := httptest.NewRecorder()
 			mux.ServeHTTP(w, r)
 			if w.Code == http.StatusOK {
-				made = true
+				accepted = true
 				break
 			}
 			if w.Code != http.StatusServiceUnavailable {
 				t.Fatalf("change %d: status %d: %s", i, w.Code, w.Body)
 			}
 		}
-		if !made {
+		if !accepted {
 			t.Fatalf("change %d was never resolved", i)
 		}
 		held := len(platform.Read(upstreamHolds).Rows)
--- a/internal/administrator/burn.go
+++ b/internal/administrator/burn.go
@@ -12,27 +12,27 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// SnapshotPrefix is the prefix of the keys of entries' snapshots in the object
-// store.
+// SnapshotPrefix is the prefix of the object-store keys of the entries' snapshots.
 const SnapshotPrefix = "burn/"
 
 func (s *Service) burn(r *http.Request, _ authenticator.Principal) (any, *submitter.Problem) {
-	made, problem := s.makeReport(r)
+	built, problem := s.buildReport(r)
 	if problem != nil {
 		return nil, problem
 	}
-	return made.report, nil
+	return built.report, nil
 }
 
-// madeReport is a report with what it was made from.
-type madeReport struct {
+// builtReport is a report and the data that it was built from.
+type builtReport struct {
 	report   *reporter.Report
 	services []configurer.Service
 	counts   *reporter.Snapshot
 }
 
-// makeReport reports on the window and the service that the query names.
-func (s *Service) makeReport(r *http.Request) (*madeReport, *submitter.Problem) {
+// buildReport reports on the window and the service that the query names. Without a
+// service it covers all of them.
+func (s *Service) buildReport(r *http.Request) (*builtReport, *submitter.Problem) {
 	config, _ := s.o.Config()
 	if config == nil {
 		return nil, noConfiguration()
@@ -50,13 +50,14 @@
 		services = []configurer.Service{*one}
 	}
 	now := s.o.Now()
-	counts, missing := s.gatherCounts(r.Context(), now)
+	counts, missing := s.sumCounts(r.Context(), now)
 	report := reporter.NewReport(now, window, services, counts)
 	report.Missing = missing
-	return &madeReport{report: report, services: services, counts: counts}, nil
+	return &builtReport{report: report, services: services, counts: counts}, nil
 }
 
-// queryWindow returns the window that a query names, or the longest.
+// queryWindow returns the window that a query names; the default is
+// [reporter.MaxWindow].
 func queryWindow(r *http.Request) (time.Duration, *submitter.Problem) {
 	text := r.URL.Query().Get("window")
 	if text == "" {
@@ -73,15 +74,15 @@
 	return window, nil
 }
 
-// liveCounts is what the entries have answered.
-type liveCounts struct {
+// entrySnapshots collects the entries' answers to [CallBurn].
+type entrySnapshots struct {
 	snapshots []*reporter.Snapshot
-	instances map[string]bool // instances are those of the snapshots.
+	instances map[string]bool // Instance names of all snapshots.
 	silent    []Part
 	missing   []reporter.Missing
 }
 
-func (l *liveCounts) add(p Part) {
+func (l *entrySnapshots) add(p Part) {
 	snapshot, err := reporter.Decode(p.Body)
 	if p.Detail != "" || err != nil {
 		l.silent = append(l.silent, p)
@@ -100,14 +101,14 @@
 	l.snapshots = append(l.snapshots, snapshot)
 }
 
-// gatherCounts sums what the entries have counted. For an entry that does not
-// answer and for one that has gone, its last snapshot in the object store counts.
-func (s *Service) gatherCounts(ctx context.Context, now time.Time) (*reporter.Snapshot, []reporter.Missing) {
-	live := liveCounts{instances: make(map[string]bool)}
+// sumCounts sums the counts of all entries. For an entry that does not answer or
+// that has terminated, it uses the last snapshot in the object store.
+func (s *Service) sumCounts(ctx context.Context, now time.Time) (*reporter.Snapshot, []reporter.Missing) {
+	live := entrySnapshots{instances: make(map[string]bool)}
 	for _, p := range s.o.AskAll(ctx, CallBurn, nil) {
 		live.add(p)
 	}
-	kept, err := s.keptSnapshots(ctx, live.instances)
+	stored, err := s.storedSnapshots(ctx, live.instances)
 	if err != nil {
 		live.missing = append(live.missing, reporter.Missing{
 			Entry:  "all entries that have gone or are silent",
@@ -115,13 +116,14 @@
 		})
 	}
 	for _, p := range live.silent {
-		live.missing = append(live.missing, missingPart(now, p, kept, err != nil))
+		live.missing = append(live.missing, missingPart(now, p, stored, err != nil))
 	}
-	return reporter.Sum(append(live.snapshots, kept...)), live.missing
+	return reporter.Sum(append(live.snapshots, stored...)), live.missing
 }
 
-// keptSnapshots reads the snapshots of the instances that are not live.
-func (s *Service) keptSnapshots(ctx context.Context, live map[string]bool) ([]*reporter.Snapshot, error) {
+// storedSnapshots reads the stored snapshots of all instances except the live ones,
+// whose current counts are known.
+func (s *Service) storedSnapshots(ctx context.Context, live map[string]bool) ([]*reporter.Snapshot, error) {
 	keys, err := s.o.Objects(ctx, SnapshotPrefix)
 	if err != nil {
 		return nil, err
@@ -144,10 +146,11 @@
 	return out, nil
 }
 
-// missingPart says what the report lacks of an entry that did not answer. The
-// snapshots are unread if the object store could not be read.
-func missingPart(now time.Time, p Part, kept []*reporter.Snapshot, unread bool) reporter.Missing {
-	for _, k := range kept {
+// missingPart describes what the report lacks for an entry that did not answer.
+// storeFailed is true if the object store could not be read, so that the entry may
+// have a snapshot that is not in stored.
+func missingPart(now time.Time, p Part, stored []*reporter.Snapshot, storeFailed bool) reporter.Missing {
+	for _, k := range stored {
 		if k.Peer == string(p.Peer) {
 			return reporter.Missing{
 				Entry:  string(p.Peer),
@@ -156,29 +159,29 @@
 			}
 		}
 	}
-	if unread {
+	if storeFailed {
 		return reporter.Missing{Entry: string(p.Peer), Detail: "did not answer and its snapshot cannot be read: " + p.Detail}
 	}
 	return reporter.Missing{Entry: string(p.Peer), Detail: "did not answer and has no snapshot: " + p.Detail}
 }
 
-// serveBurnPage serves the report as a page for people.
+// serveBurnPage serves the report as an HTML page.
 func (s *Service) serveBurnPage(w http.ResponseWriter, r *http.Request) {
 	if _, problem := s.o.Authenticate(r, authenticator.RoleViewer, authenticator.RoleOperator); problem != nil {
 		writeProblem(w, problem)
 		return
 	}
-	made, problem := s.makeReport(r)
+	built, problem := s.buildReport(r)
 	if problem != nil {
 		writeProblem(w, problem)
 		return
 	}
-	page, err := reporter.Page(made.report, made.services, made.counts)
+	page, err := reporter.Page(built.report, built.services, built.counts)
 	if err != nil {
 		writeProblem(w, &submitter.Problem{Status: http.StatusInternalServerError, Title: "the page cannot be made", Detail: err.Error()})
 		return
 	}
 	w.Header().Set("Content-Type", "text/html; charset=utf-8")
-	// An error here means that the client has gone.
+	// Write fails only if the client has closed the connection.
 	_, _ = w.Write(page)
 }
--- a/internal/administrator/call.go
+++ b/internal/administrator/call.go
@@ -1,11 +1,11 @@
-// Package administrator serves the administration API over HTTP and defines what
-// entries ask each other for it.
+// Package administrator serves the administration API over HTTP and defines the
+// calls between entries that it needs.
 //
-// A listing is made of parts: each entry answers a [Call] with its own part as
-// JSON, and the entry that was asked over HTTP joins the parts and names the
-// entries that did not answer. A change is named by a change id; it takes effect
-// once, however often it is asked for, and leaves a [Record] in the object
-// store.
+// The entry that receives an HTTP request for a listing sends a [Call] to every
+// entry. Each entry answers with its own part as JSON; the receiving entry merges
+// the parts and lists the entries that did not answer. A change is identified by a
+// change id, which makes it idempotent: it takes effect once, however often it is
+// requested, and leaves a [Record] in the object store.
 package administrator
 
 import (
@@ -20,10 +20,10 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Call names what one entry asks another for.
+// Call names a request from one entry to another.
 type Call string
 
-// The calls. The comment says what the body of the query and of the reply are.
+// The calls. Each comment gives the body of the query, then the body of the reply.
 const (
 	CallEntry      Call = "entry"       // Nothing; Entry.
 	CallUpstreams  Call = "upstreams"   // Nothing; []Upstream.
@@ -33,8 +33,8 @@
 	CallJob        Call = "job"         // JobQuery; JobReply.
 	CallCancelJob  Call = "cancel-job"  // JobQuery; JobReply.
 	CallCancelJobs Call = "cancel-jobs" // Selection; Cancelled.
-	CallHolds      Call = "holds"       // Nothing; nothing: read the holds anew.
-	CallRestore    Call = "restore"     // Restore; Restored: end an ejection by the placer.
+	CallHolds      Call = "holds"       // Nothing; nothing. The entry reads the holds again.
+	CallRestore    Call = "restore"     // Restore; Restored. The entry ends an ejection by its placer.
 	CallConfig     Call = "config"      // Nothing; []ConfigStatus.
 	CallRoster     Call = "roster"      // Nothing; []RosterAgent.
 )
@@ -43,7 +43,7 @@
 type Part struct {
 	Peer messenger.Peer
 	Body []byte
-	// Detail says why there is no answer; it is empty if there is one.
+	// Detail is the reason why there is no answer; it is empty if there is one.
 	Detail string
 }
 
@@ -69,18 +69,19 @@
 	QueuedTasks  int            `json:"queued-tasks"`
 }
 
-// EntryState says whether an entry takes requests.
+// EntryState is whether an entry accepts requests.
 type EntryState string
 
 // The states of an entry.
 const (
 	EntryServing  EntryState = "serving"
-	EntryDrained  EntryState = "drained"  // An operator keeps requests away.
-	EntryStopping EntryState = "stopping" // The entry shuts down.
+	EntryDrained  EntryState = "drained"  // An operator has drained the entry.
+	EntryStopping EntryState = "stopping" // The entry is shutting down.
 	EntrySilent   EntryState = "silent"   // The entry did not answer.
 )
 
-// Upstream is one upstream as one entry, or all of them together, see it.
+// Upstream is the state of an upstream as seen by one entry, or merged over all
+// entries.
 type Upstream struct {
 	Peer       messenger.Peer          `json:"peer"`
 	Region     string                  `json:"region"`
@@ -92,13 +93,14 @@
 	// Credit and Outstanding are summed over the entries.
 	Credit      int `json:"credit"`
 	Outstanding int `json:"outstanding"`
-	// FailureRatio is the greatest that an entry sees.
+	// FailureRatio is the highest ratio that any entry has measured.
 	FailureRatio float64 `json:"failure-ratio"`
-	// Ejected says why an entry has ejected the upstream by itself; empty if none has.
+	// Ejected is the reason why an entry has ejected the upstream automatically;
+	// empty if none has.
 	Ejected string `json:"ejected,omitempty"`
-	// EjectedBy counts the entries that have ejected it by themselves.
+	// EjectedBy counts the entries that have ejected the upstream automatically.
 	EjectedBy int `json:"ejected-by,omitempty"`
-	// Hold is what an operator has ordered.
+	// Hold is the operator's hold on the upstream; empty if there is none.
 	Hold placer.Hold `json:"hold,omitempty"`
 	// SeenBy counts the entries that are connected to it.
 	SeenBy int `json:"seen-by"`
@@ -108,22 +110,23 @@
 type Partition struct {
 	Partition identifier.Partition `json:"partition"`
 	Region    string               `json:"region"`
-	// Owner is empty while nobody owns the partition.
+	// Owner is empty while the partition has no owner.
 	Owner messenger.Peer `json:"owner"`
 	Epoch uint64         `json:"epoch"`
-	// Phase is how far the owner has come with the partition. It and what follows
-	// are told by the owner only.
+	// Phase is the phase of the owner's takeover of the partition. This field and
+	// those below are set only by the owner.
 	Phase recoverer.Phase `json:"phase,omitempty"`
-	// LeaseLeft is how long the owner may start tasks without hearing from agents.
+	// LeaseLeft is how much longer the owner may start tasks without receiving
+	// messages from agents.
 	LeaseLeft *submitter.Duration `json:"lease-left,omitempty"`
-	// UncertainBefore is the end of the submission times whose jobs the owner
-	// cannot decide; absent if there are none.
+	// UncertainBefore bounds the submission times for which the owner cannot decide
+	// whether a job exists; it is absent if there are none.
 	UncertainBefore *time.Time `json:"uncertain-before,omitempty"`
-	// Missing are the agents whose records the owner lacks.
+	// Missing lists the agents whose records the owner has not received.
 	Missing []messenger.Peer `json:"missing,omitempty"`
 }
 
-// Usage is what the jobs of one service and team amount to.
+// Usage counts the jobs and tasks of one service and team.
 type Usage struct {
 	Service      string `json:"service"`
 	Team         string `json:"team"`
@@ -145,40 +148,42 @@
 type JobReply struct {
 	Found bool      `json:"found"`
 	State *JobState `json:"state,omitempty"`
-	// Undecided means that the entry cannot tell yet whether there is such a job.
+	// Undecided is set while the entry cannot yet decide whether the job exists.
 	Undecided bool `json:"undecided,omitempty"`
 }
 
-// JobState is where a job stands.
+// JobState is the state of a job.
 type JobState = submitter.JobState
 
-// Selection selects open jobs; an empty name stands for all.
+// Selection selects open jobs; an empty name selects all.
 type Selection struct {
 	Service string `json:"service"`
 	Team    string `json:"team"`
 }
 
-// Restore names an upstream that is to take work again.
+// Restore names an upstream whose ejection is to end.
 type Restore struct {
 	Peer messenger.Peer `json:"peer"`
 }
 
-// Restored says whether the entry had ejected the upstream.
+// Restored is the answer to [CallRestore].
 type Restored struct {
+	// Ended is true if the entry had ejected the upstream.
 	Ended bool `json:"ended"`
 }
 
-// ConfigStatus is how one process stands to the current version.
+// ConfigStatus compares the configuration version of one process with the current
+// version.
 type ConfigStatus struct {
 	applier.Status
 	// InForceFor is how long the version has been in force.
 	InForceFor submitter.Duration `json:"in-force-for,omitzero"`
-	// Age is the time since the table last said which version is current; absent
-	// if it never did or the process reads no table.
+	// Age is the time since the process last learned from the table which version is
+	// current; it is absent if it never did or if the process does not read the table.
 	Age *submitter.Duration `json:"age,omitempty"`
 }
 
-// Cancelled says how many jobs were cancelled.
+// Cancelled is the number of jobs that were cancelled.
 type Cancelled struct {
 	Jobs int `json:"jobs"`
 }
--- a/internal/administrator/change.go
+++ b/internal/administrator/change.go
@@ -15,7 +15,7 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Action names a change.
+// Action is the kind of a change.
 type Action string
 
 // The actions.
@@ -34,63 +34,64 @@
 	ActionRollbackConfig  Action = "rollback-config"
 )
 
-// Record is what the object store keeps of a change.
+// Record is the audit record of a change in the object store.
 type Record struct {
 	ChangeID string    `json:"change-id"`
 	Action   Action    `json:"action"`
 	Target   string    `json:"target"`
 	By       string    `json:"by"`
 	At       time.Time `json:"at"`
-	// ConfigVersion is the version of the configuration in force at the time.
+	// ConfigVersion is the version of the configuration in force at that time.
 	ConfigVersion uint64 `json:"config-version"`
-	// Detail says what the change did.
+	// Detail describes the effect of the change.
 	Detail string `json:"detail,omitempty"`
 }
 
 // Changed is the answer to a change.
 type Changed struct {
 	Record
-	// Repeated says that the change had been made before; nothing was done again.
+	// Repeated is set if the change had been made before, so that this request had no
+	// effect.
 	Repeated bool `json:"repeated,omitempty"`
-	// Silent lists the entries that were not told. They learn of the change from
-	// the table by themselves.
+	// Silent lists the entries that could not be notified. They learn of the change
+	// when they next read the table.
 	Silent []Silent `json:"silent,omitempty"`
 }
 
-// recordPrefix is the prefix of the keys of records in the object store, and of
-// rows in the table that hold a record until it is in the object store. Such a
-// row is written in the transaction of the change, so that a change whose record
-// could not be stored is known when it is repeated.
+// recordPrefix is the prefix of the object-store keys of records, and of the table
+// rows that hold a record until it is in the object store. Such a row is written in
+// the transaction of the change. If writing the object then fails, a repeated
+// request finds the row and does not make the change again.
 const recordPrefix = "audit/"
 
-// change makes a change once and leaves its record. The function makes the
-// change; it is safe to call again under the same change id.
-func (s *Service) change(r *http.Request, who authenticator.Principal, action Action, target string,
-	do func(ctx context.Context, record *Record) ([]Silent, *submitter.Problem),
+// change makes a change at most once per change id and stores its record. The apply
+// function makes the change; it must be idempotent for a change id.
+func (s *Service) change(r *http.Request, principal authenticator.Principal, action Action, target string,
+	apply func(ctx context.Context, record *Record) ([]Silent, *submitter.Problem),
 ) (any, *submitter.Problem) {
 	ctx := r.Context()
 	id, problem := changeID(r)
 	if problem != nil {
 		return nil, problem
 	}
-	record := Record{ChangeID: id, Action: action, Target: target, By: who.Name}
-	known, problem := s.known(ctx, &record)
-	if problem != nil || known != nil {
-		return known, problem
+	record := Record{ChangeID: id, Action: action, Target: target, By: principal.Name}
+	previous, problem := s.previousChange(ctx, &record)
+	if problem != nil || previous != nil {
+		return previous, problem
 	}
 	record.At = s.o.Now().UTC()
 	_, record.ConfigVersion = s.o.Config()
-	silent, problem := do(ctx, &record)
+	silent, problem := apply(ctx, &record)
 	if problem != nil {
 		return nil, problem
 	}
-	if problem := s.keep(ctx, &record); problem != nil {
+	if problem := s.storeRecord(ctx, &record); problem != nil {
 		return nil, problem
 	}
 	return &Changed{Record: record, Silent: silent}, nil
 }
 
-// changeID returns the id that names the change of a request, or a new one.
+// changeID returns the change id of a request, or a new one if the request has none.
 func changeID(r *http.Request) (string, *submitter.Problem) {
 	id := r.Header.Get(HeaderChangeID)
 	if id == "" {
@@ -102,9 +103,9 @@
 	return id, nil
 }
 
-// known returns the change if it was made before under the same id. If only its
-// row is there, its record is stored now.
-func (s *Service) known(ctx context.Context, want *Record) (any, *submitter.Problem) {
+// previousChange returns the change if it was made before under the same id. If the
+// record is only in the table, previousChange writes it to the object store.
+func (s *Service) previousChange(ctx context.Context, want *Record) (any, *submitter.Problem) {
 	text, stored, err := s.findRecord(ctx, want.ChangeID)
 	if err != nil {
 		return nil, &submitter.Problem{
@@ -121,10 +122,10 @@
 		return nil, problem
 	}
 	if record.Action != want.Action || record.Target != want.Target {
-		return nil, record.used()
+		return nil, record.idConflict()
 	}
 	if !stored {
-		if problem := s.keep(ctx, &record); problem != nil {
+		if problem := s.storeRecord(ctx, &record); problem != nil {
 			return nil, problem
 		}
 	}
@@ -138,8 +139,8 @@
 	return nil
 }
 
-// used is the answer to another change under the id of this one.
-func (r *Record) used() *submitter.Problem {
+// idConflict is the problem of a request for another change under the id of r.
+func (r *Record) idConflict() *submitter.Problem {
 	return &submitter.Problem{
 		Status: http.StatusConflict,
 		Title:  "the change id was used for another change",
@@ -147,8 +148,8 @@
 	}
 }
 
-// findRecord returns the record of a change and whether it is in the object
-// store; nil if there is no such change.
+// findRecord returns the encoded record of a change, and whether it is in the object
+// store rather than in the table. The record is nil if there is no such change.
 func (s *Service) findRecord(ctx context.Context, id string) ([]byte, bool, error) {
 	text, err := s.o.Object(ctx, recordPrefix+id)
 	if err == nil {
@@ -164,8 +165,9 @@
 	return rows.Rows[0].Value, false, nil
 }
 
-// keep writes the record of a change that was made, and removes its row.
-func (s *Service) keep(ctx context.Context, record *Record) *submitter.Problem {
+// storeRecord writes the record of a completed change to the object store and
+// deletes its row in the table.
+func (s *Service) storeRecord(ctx context.Context, record *Record) *submitter.Problem {
 	body, err := json.Marshal(record)
 	if err != nil {
 		return &submitter.Problem{Status: http.StatusInternalServerError, Title: "the record of the change cannot be written"}
@@ -177,7 +179,8 @@
 			Detail: "repeat it with the change id " + record.ChangeID + " to write the record",
 		}
 	}
-	// A row that stays behind does no harm: the object is found before it.
+	// A row that remains after an error is harmless: findRecord reads the object
+	// store first.
 	_, _ = s.o.Write(ctx, storer.Transaction{
 		RequestID: record.ChangeID + "-stored",
 		Deletes:   []string{recordPrefix + record.ChangeID},
@@ -201,8 +204,8 @@
 	return json.RawMessage(text), nil
 }
 
-func (s *Service) cancelJob(r *http.Request, who authenticator.Principal) (any, *submitter.Problem) {
-	return s.change(r, who, ActionCancelJob, r.PathValue("submission"),
+func (s *Service) cancelJob(r *http.Request, principal authenticator.Principal) (any, *submitter.Problem) {
+	return s.change(r, principal, ActionCancelJob, r.PathValue("submission"),
 		func(_ context.Context, record *Record) ([]Silent, *submitter.Problem) {
 			state, problem := s.askOwner(r, CallCancelJob)
 			if problem != nil {
@@ -216,14 +219,14 @@
 		})
 }
 
-func (s *Service) cancelService(r *http.Request, who authenticator.Principal) (any, *submitter.Problem) {
+func (s *Service) cancelService(r *http.Request, principal authenticator.Principal) (any, *submitter.Problem) {
 	name := r.PathValue("service")
-	return s.change(r, who, ActionCancelService, name, s.cancelAll(Selection{Service: name}))
+	return s.change(r, principal, ActionCancelService, name, s.cancelAll(Selection{Service: name}))
 }
 
-func (s *Service) cancelTeam(r *http.Request, who authenticator.Principal) (any, *submitter.Problem) {
+func (s *Service) cancelTeam(r *http.Request, principal authenticator.Principal) (any, *submitter.Problem) {
 	name := r.PathValue("team")
-	return s.change(r, who, ActionCancelTeam, name, s.cancelAll(Selection{Team: name}))
+	return s.change(r, principal, ActionCancelTeam, name, s.cancelAll(Selection{Team: name}))
 }
 
 // cancelAll cancels the selected jobs at every entry.
--- a/internal/administrator/client.go
+++ b/internal/administrator/client.go
@@ -13,7 +13,7 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// maxAnswerBytes bounds an answer of the administration API.
+// maxAnswerBytes bounds the size of a response from the administration API.
 const maxAnswerBytes = 64 << 20
 
 // Client calls the administration API.
@@ -21,22 +21,23 @@
 	o ClientOptions
 }
 
-// ClientOptions describe a client.
+// ClientOptions configures a [Client].
 type ClientOptions struct {
-	// Addrs are the administration addresses of entries; they are tried in order.
+	// Addrs are administration addresses of entries, which the client tries in order.
 	Addrs []netip.AddrPort
 	// Token is the operator's bearer token; empty sends none.
 	Token string
-	// TLS says that the addresses serve with TLS. HTTP brings the authorities then.
+	// TLS selects https. HTTP must then be configured with the certificate
+	// authorities.
 	TLS bool
-	// HTTP is the client to use.
+	// HTTP is the underlying HTTP client.
 	HTTP *http.Client
 }
 
 // NewClient returns a client. ClientOptions.Addrs must not be empty.
 func NewClient(o ClientOptions) *Client { return &Client{o: o} }
 
-// Get reads a path into out, as JSON.
+// Get reads a path and decodes the JSON response into out.
 func (c *Client) Get(ctx context.Context, path string, out any) error {
 	text, err := c.call(ctx, request{method: http.MethodGet, path: path})
 	if err != nil {
@@ -48,13 +49,13 @@
 	return nil
 }
 
-// Text reads a path as it is.
+// Text returns the response for a path without decoding it.
 func (c *Client) Text(ctx context.Context, path string) ([]byte, error) {
 	return c.call(ctx, request{method: http.MethodGet, path: path})
 }
 
-// Change makes a change under a change id. A lost answer is resolved by trying
-// the next address with the same id.
+// Change makes a change under a change id. If a response is lost, it repeats the
+// request with the same id at the next address.
 func (c *Client) Change(ctx context.Context, path, changeID string) (Changed, error) {
 	var out Changed
 	text, err := c.call(ctx, request{method: http.MethodPost, path: path, changeID: changeID})
@@ -67,10 +68,10 @@
 	return out, nil
 }
 
-// request is a call of the API.
+// request is a request to the API.
 type request struct {
 	method, path, changeID string
-	body                   []byte // body is JSON; nil sends none.
+	body                   []byte // JSON; nil sends no body.
 }
 
 func (c *Client) call(ctx context.Context, r request) ([]byte, error) {
@@ -110,7 +111,8 @@
 	if err != nil {
 		return nil, &Error{Op: op, Kind: KindUnreachable, Err: err}
 	}
-	// A problem has a content type of its own; other answers may have any status.
+	// An error response has the content type application/problem+json. A response
+	// with application/json is a result, whatever its status.
 	if resp.StatusCode != http.StatusOK && resp.Header.Get("Content-Type") != "application/json" {
 		return nil, rejected(op, resp.StatusCode, text)
 	}
--- a/internal/administrator/client_config.go
+++ b/internal/administrator/client_config.go
@@ -16,17 +16,18 @@
 
 const configVersions = "/v1/admin/config/versions"
 
-// configRetryPause is the pause after all addresses failed; chosen.
-const configRetryPause = 250 * time.Millisecond
+// configRetryDelay is the delay before the next attempt after all addresses have
+// failed.
+const configRetryDelay = 250 * time.Millisecond
 
-// ConfigHistory returns the heads of the latest versions, the newest first.
+// ConfigHistory returns the heads of the latest versions, newest first.
 func (c *Client) ConfigHistory(ctx context.Context, limit int) ([]configurer.Head, error) {
 	var l Listing[configurer.Head]
 	err := c.Get(ctx, configVersions+"?limit="+strconv.Itoa(limit), &l)
 	return l.Items, err
 }
 
-// ConfigVersion returns a version; 0 stands for the current one.
+// ConfigVersion returns the version with the number; 0 selects the current version.
 func (c *Client) ConfigVersion(ctx context.Context, number uint64) (*configurer.Version, error) {
 	name := "current"
 	if number > 0 {
@@ -36,11 +37,11 @@
 	return v, c.Get(ctx, configVersions+"/"+name, v)
 }
 
-// ApplyConfig makes a change of the configuration and asks again until it knows
-// what became of it or the context ends. The error is not nil only if the change
-// cannot be asked for.
+// ApplyConfig makes a change of the configuration. It retries until the outcome is
+// known or the context ends. It returns an error only if an entry rejects the request
+// or the response cannot be read; otherwise the report has the verdict.
 func (c *Client) ApplyConfig(ctx context.Context, id string, change ConfigChange) (versioner.Report, error) {
-	last := notReached(id, &change)
+	last := noEntryReached(id, &change)
 	for {
 		for _, addr := range c.o.Addrs {
 			report, sent, err := c.applyConfigOnce(ctx, request{method: http.MethodPost, path: configVersions, changeID: id}, addr, &change)
@@ -54,21 +55,21 @@
 				return versioner.Report{}, err
 			default:
 				change.Repeated = change.Repeated || sent
-				last = notReached(id, &change)
+				last = noEntryReached(id, &change)
 				last.Detail += ": " + err.Error()
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return last, nil
-		case <-time.After(configRetryPause):
+		case <-time.After(configRetryDelay):
 		}
 	}
 }
 
-// applyConfigOnce asks one entry. It also reports whether there was a connection
-// over which the change may have been sent: without one it was not, whatever the
-// error, also if the context had ended before.
+// applyConfigOnce sends the change to one entry. sent reports whether there was a
+// connection over which the change may have been sent. Without a connection it was
+// certainly not sent, whatever the error is, even if the context had ended.
 func (c *Client) applyConfigOnce(ctx context.Context, r request, addr netip.AddrPort, change *ConfigChange) (report versioner.Report, sent bool, err error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -85,7 +86,7 @@
 	return report, true, nil
 }
 
-// notReached is the result of a change that no entry has answered.
-func notReached(id string, change *ConfigChange) versioner.Report {
-	return change.unavailable(id, "no entry was reached; nothing was written", "no entry said what became of the change")
+// noEntryReached is the result of a change that no entry has answered.
+func noEntryReached(id string, change *ConfigChange) versioner.Report {
+	return change.unavailableReport(id, "no entry was reached; nothing was written", "no entry said what became of the change")
 }
--- a/internal/administrator/config.go
+++ b/internal/administrator/config.go
@@ -16,26 +16,28 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// ConfigChange asks for a new version of the configuration.
+// ConfigChange is a request for a new version of the configuration.
 type ConfigChange struct {
-	// Expect is the version that the operator has seen, 0 for none. It must be given:
-	// a change that was made from an unknown version could undo another.
+	// Expect is the version that the operator has seen, 0 for none. It is required:
+	// a change that is based on an unknown version could revert a concurrent change.
 	Expect  *uint64 `json:"expect-version"`
 	Comment string  `json:"comment,omitempty"`
-	// RollbackTo is the version whose content to take; Base and Overlays are empty
-	// then.
+	// RollbackTo is the version whose content the new version takes over. If it is
+	// set, Base and Overlays must be empty.
 	RollbackTo uint64   `json:"rollback-to,omitempty"`
 	Base       string   `json:"base,omitempty"`
 	Overlays   []string `json:"overlays,omitempty"`
-	// Repeated says that the same change may have been asked for before.
+	// Repeated is set if an earlier request for the same change may have been
+	// received.
 	Repeated bool `json:"repeated,omitempty"`
 }
 
-// ConfigApplied is what became of a change. Its status is 200 if it was accepted,
-// 409 after a conflict and 503 if the platform did not say.
+// ConfigApplied is the outcome of a change. The HTTP status is 200 if the change was
+// accepted, 409 after a conflict and 503 if the platform did not answer.
 type ConfigApplied struct{ versioner.Report }
 
-// status is that of the HTTP answer: a change may be refused with the whole result.
+// status returns the status of the HTTP response. The response to a refused change
+// also has the whole result as its body.
 func (a *ConfigApplied) status() int {
 	switch {
 	case a.Verdict == versioner.VerdictAccepted:
@@ -47,93 +49,95 @@
 }
 
 const (
-	// DefaultConfigPatience is [Options.ConfigPatience] in production. It is chosen
-	// well below the 20 s that a command tries.
+	// DefaultConfigTimeout is [Options.ConfigTimeout] in production. It must be well
+	// below the 20 s for which a command retries.
 	DefaultConfigTimeout = 5 * time.Second
-	// defaultHistory and maxHistory bound a list of versions; older ones are read
-	// from the object store one by one.
+	// defaultHistory and maxHistory limit the number of listed versions: older ones
+	// must be read from the object store one by one.
 	defaultHistory = 20
 	maxHistory     = 1000
 )
 
-// configTarget is the target of the records of changes of the configuration.
+// configTarget is the target in the records of configuration changes.
 const configTarget = "configuration"
 
-// applyConfig makes a new version in the name of the operator. The record of the
-// change is written in the transaction of the version.
-func (s *Service) applyConfig(r *http.Request, who authenticator.Principal) (any, *submitter.Problem) {
+// applyConfig makes a new version on behalf of the operator. The record of the change
+// is written in the same transaction as the version.
+func (s *Service) applyConfig(r *http.Request, principal authenticator.Principal) (any, *submitter.Problem) {
 	id, problem := changeID(r)
 	if problem != nil {
 		return nil, problem
 	}
-	asked, problem := decodeConfigChange(r)
+	change, problem := decodeConfigChange(r)
 	if problem != nil {
 		return nil, problem
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), s.o.ConfigTimeout)
 	defer cancel()
-	content, problem := s.content(ctx, asked)
+	content, problem := s.content(ctx, change)
 	if problem != nil {
 		return nil, problem
 	}
-	record := s.configRecord(id, who, asked)
-	stored, result, problem := s.recordedChange(ctx, record, asked)
+	record := s.configRecord(id, principal, change)
+	stored, result, problem := s.recordedChange(ctx, record, change)
 	if problem != nil || result != nil {
 		return result, problem
 	}
-	made, err := s.versions.Apply(ctx, versioner.Change{
+	applied, err := s.versions.Apply(ctx, versioner.Change{
 		ID:            id,
-		ExpectVersion: *asked.Expect,
-		Operator:      who.Name,
-		Comment:       asked.Comment,
-		RollbackTo:    asked.RollbackTo,
+		ExpectVersion: *change.Expect,
+		Operator:      principal.Name,
+		Comment:       change.Comment,
+		RollbackTo:    change.RollbackTo,
 		Content:       *content,
-		Repeated:      asked.Repeated,
+		Repeated:      change.Repeated,
 		Puts:          []storer.Put{recordPut(record)},
 	})
 	if err != nil {
 		return nil, versionProblem(err)
 	}
-	if made.Verdict == versioner.VerdictAccepted && !stored {
-		if problem := s.keep(r.Context(), record); problem != nil {
+	if applied.Verdict == versioner.VerdictAccepted && !stored {
+		if problem := s.storeRecord(r.Context(), record); problem != nil {
 			return nil, problem
 		}
 	}
-	return &ConfigApplied{s.versions.Report(r.Context(), made)}, nil
+	return &ConfigApplied{s.versions.Report(r.Context(), applied)}, nil
 }
 
-// recordedChange looks for the record of an earlier run of the change. It reports
-// whether it is in the object store, and returns a result if the platform cannot
-// be asked.
-func (s *Service) recordedChange(ctx context.Context, record *Record, asked *ConfigChange) (bool, any, *submitter.Problem) {
+// recordedChange looks for the record of an earlier request for the same change and
+// copies it to record. It reports whether that record is in the object store. If the
+// platform cannot be reached, it returns a result with that verdict.
+func (s *Service) recordedChange(ctx context.Context, record *Record, change *ConfigChange) (bool, any, *submitter.Problem) {
 	text, stored, err := s.findRecord(ctx, record.ChangeID)
 	if err != nil {
-		return false, unreachable(record.ChangeID, asked), nil
+		return false, platformUnreachable(record.ChangeID, change), nil
 	}
 	if text == nil {
 		return false, nil, nil
 	}
-	var before Record
-	if problem := decodeRecord(text, &before); problem != nil {
+	var earlier Record
+	if problem := decodeRecord(text, &earlier); problem != nil {
 		return false, nil, problem
 	}
-	// The detail has the version, so that an id makes one version only.
-	if before.Action != record.Action || before.Target != record.Target || before.Detail != record.Detail {
-		return false, nil, before.used()
+	// The detail has the version number, so that an id can make only one version.
+	if earlier.Action != record.Action || earlier.Target != record.Target || earlier.Detail != record.Detail {
+		return false, nil, earlier.idConflict()
 	}
-	*record = before
+	*record = earlier
 	return stored, nil, nil
 }
 
-// unreachable is the result of a change before which the platform did not answer.
-func unreachable(id string, asked *ConfigChange) *ConfigApplied {
-	return &ConfigApplied{asked.unavailable(id, "the platform did not answer; nothing was written",
+// platformUnreachable is the result of a change that was not attempted because the
+// platform did not answer.
+func platformUnreachable(id string, change *ConfigChange) *ConfigApplied {
+	return &ConfigApplied{change.unavailableReport(id, "the platform did not answer; nothing was written",
 		"the platform did not say what became of the change")}
 }
 
-// unavailable is the result of a change of which nothing was heard: refused if it
-// cannot have been made, unknown if it was asked for before.
-func (c *ConfigChange) unavailable(id, refused, unknown string) versioner.Report {
+// unavailableReport is the result of a change for which no answer was received. The
+// verdict is refused if the change cannot have been made, and unknown if it may have
+// been requested before. The texts are the details for the two verdicts.
+func (c *ConfigChange) unavailableReport(id, refused, unknown string) versioner.Report {
 	out := versioner.Result{
 		Verdict:  versioner.VerdictRefused,
 		Reason:   versioner.ReasonUnavailable,
@@ -148,32 +152,32 @@
 	return versioner.Report{Result: out}
 }
 
-func (s *Service) configRecord(id string, who authenticator.Principal, asked *ConfigChange) *Record {
+func (s *Service) configRecord(id string, principal authenticator.Principal, change *ConfigChange) *Record {
 	record := &Record{
 		ChangeID: id,
 		Action:   ActionApplyConfig,
 		Target:   configTarget,
-		By:       who.Name,
+		By:       principal.Name,
 		At:       s.o.Now().UTC(),
-		Detail:   "now version " + strconv.FormatUint(*asked.Expect+1, 10),
+		Detail:   "now version " + strconv.FormatUint(*change.Expect+1, 10),
 	}
-	if asked.RollbackTo > 0 {
+	if change.RollbackTo > 0 {
 		record.Action = ActionRollbackConfig
-		record.Detail += ", the content of version " + strconv.FormatUint(asked.RollbackTo, 10)
+		record.Detail += ", the content of version " + strconv.FormatUint(change.RollbackTo, 10)
 	}
 	_, record.ConfigVersion = s.o.Config()
 	return record
 }
 
-// content returns the checked texts of a change.
-func (s *Service) content(ctx context.Context, asked *ConfigChange) (*configurer.Version, *submitter.Problem) {
-	base := configurer.File{Name: "base", Text: []byte(asked.Base)}
+// content returns the validated files of a change.
+func (s *Service) content(ctx context.Context, change *ConfigChange) (*configurer.Version, *submitter.Problem) {
+	base := configurer.File{Name: "base", Text: []byte(change.Base)}
 	var overlays []configurer.File
-	for i, text := range asked.Overlays {
+	for i, text := range change.Overlays {
 		overlays = append(overlays, configurer.File{Name: "overlay " + strconv.Itoa(i+1), Text: []byte(text)})
 	}
-	if asked.RollbackTo > 0 {
-		old, err := s.versions.Version(ctx, asked.RollbackTo)
+	if change.RollbackTo > 0 {
+		old, err := s.versions.Version(ctx, change.RollbackTo)
 		if err != nil {
 			return nil, versionProblem(err)
 		}
@@ -187,24 +191,24 @@
 }
 
 func decodeConfigChange(r *http.Request) (*ConfigChange, *submitter.Problem) {
-	asked := new(ConfigChange)
+	change := new(ConfigChange)
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
-	err := dec.Decode(asked)
+	err := dec.Decode(change)
 	switch {
 	case err != nil:
-	case asked.Expect == nil:
+	case change.Expect == nil:
 		err = errors.New("expect-version must be given")
-	case asked.RollbackTo > 0 && (asked.Base != "" || len(asked.Overlays) > 0):
+	case change.RollbackTo > 0 && (change.Base != "" || len(change.Overlays) > 0):
 		err = errors.New("rollback-to and files exclude each other")
 	}
 	if err != nil {
 		return nil, &submitter.Problem{Status: http.StatusBadRequest, Title: "the body is not a change of the configuration", Detail: err.Error()}
 	}
-	return asked, nil
+	return change, nil
 }
 
-// configHistory lists the heads of the latest versions, the newest first.
+// configHistory lists the heads of the latest versions, newest first.
 func (s *Service) configHistory(r *http.Request, _ authenticator.Principal) (any, *submitter.Problem) {
 	limit := defaultHistory
 	if text := r.URL.Query().Get("limit"); text != "" {
@@ -221,8 +225,8 @@
 	return Listing[configurer.Head]{Items: append([]configurer.Head{}, heads...)}, nil
 }
 
-// configVersion returns a whole version; it is for those who may change it, since
-// it has the hashes of tokens.
+// configVersion returns a whole version. Only operators may read it, since it
+// contains the hashes of tokens.
 func (s *Service) configVersion(r *http.Request, _ authenticator.Principal) (any, *submitter.Problem) {
 	number, problem := s.versionNumber(r)
 	if problem != nil {
@@ -235,7 +239,8 @@
 	return v, nil
 }
 
-// versionNumber returns the number in the path, or the current one for "current".
+// versionNumber returns the number in the path, or the number of the current version
+// if the path has "current".
 func (s *Service) versionNumber(r *http.Request) (uint64, *submitter.Problem) {
 	text := r.PathValue("number")
 	if text == "current" {
@@ -252,7 +257,7 @@
 	return number, nil
 }
 
-// versionProblem returns the problem of a call of the versioner that failed.
+// versionProblem returns the problem for an error of the versioner.
 func versionProblem(err error) *submitter.Problem {
 	switch versioner.KindOf(err) {
 	case versioner.KindAbsent:
--- a/internal/administrator/config_test.go
+++ b/internal/administrator/config_test.go
@@ -18,19 +18,19 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// newConfigBench returns an API over a platform, and the client of an operator or,
-// with another role, of somebody else.
-func newConfigBench(t *testing.T, faults emulator.Faults) (*bench, func(role string) *Client) {
-	b := &bench{t: t, platform: emulator.NewPlatform(5, faults), now: time.Unix(1_700_000_000, 0), mux: http.NewServeMux()}
-	server := httptest.NewServer(b.platform.Handler())
+// newConfigAPI returns an API on an emulated platform, and a function that returns a
+// client with a role.
+func newConfigAPI(t *testing.T, faults emulator.Faults) (*testAPI, func(role string) *Client) {
+	a := &testAPI{t: t, platform: emulator.NewPlatform(5, faults), now: time.Unix(1_700_000_000, 0), mux: http.NewServeMux()}
+	server := httptest.NewServer(a.platform.Handler())
 	t.Cleanup(server.Close)
-	b.store = storer.New(netip.MustParseAddrPort(server.Listener.Addr().String()))
-	b.store.Sleep = func(context.Context, time.Duration) {}
-	New(b.options()).Register(b.mux)
-	return b, func(role string) *Client {
+	a.store = storer.New(netip.MustParseAddrPort(server.Listener.Addr().String()))
+	a.store.Sleep = func(context.Context, time.Duration) {}
+	New(a.options()).Register(a.mux)
+	return a, func(role string) *Client {
 		api := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			r.Header.Set("Role", role)
-			b.mux.ServeHTTP(w, r)
+			a.mux.ServeHTTP(w, r)
 		}))
 		t.Cleanup(api.Close)
 		return NewClient(ClientOptions{
@@ -48,49 +48,49 @@
 	return ConfigChange{Expect: &expect, Base: baseWithSlots(slots)}
 }
 
-func numbered(i int) string { return fmt.Sprintf("00000000-0000-0000-0000-%012d", i) }
+func numberedChangeID(i int) string { return fmt.Sprintf("00000000-0000-0000-0000-%012d", i) }
 
-// TestConfigLostAnswers makes changes through the API over a platform that loses
-// the answer to every other call: each change becomes one version, in the
-// operator's name, and its record is in the object store.
+// TestConfigLostAnswers makes changes through the API on a platform that loses the
+// response to about half of the calls. Each change must make one version with the
+// operator's name and leave its record in the object store.
 func TestConfigLostAnswers(t *testing.T) {
-	b, clients := newConfigBench(t, emulator.Faults{LoseAnswerRatio: 0.5})
+	a, clients := newConfigAPI(t, emulator.Faults{LoseAnswerRatio: 0.5})
 	client := clients("operator")
 	const changes = 20
 	for i := range changes {
-		report, err := client.ApplyConfig(t.Context(), numbered(i), configChange(uint64(i), i))
+		report, err := client.ApplyConfig(t.Context(), numberedChangeID(i), configChange(uint64(i), i))
 		if err != nil || report.Verdict != versioner.VerdictAccepted || report.Version != uint64(i+1) {
 			t.Fatalf("change %d: %+v, error %v", i, report, err)
 		}
 	}
-	b.platform.SetFaults(emulator.Faults{})
+	a.platform.SetFaults(emulator.Faults{})
 	heads, err := client.ConfigHistory(t.Context(), 2*changes)
 	if err != nil || len(heads) != changes {
 		t.Fatalf("%d versions, error %v", len(heads), err)
 	}
 	for _, h := range heads {
-		if h.Operator != "ann" || h.ChangeID != numbered(int(h.Number)-1) {
+		if h.Operator != "ann" || h.ChangeID != numberedChangeID(int(h.Number)-1) {
 			t.Errorf("version %d is by %q under %s", h.Number, h.Operator, h.ChangeID)
 		}
 		var record Record
-		text, err := b.store.Object(t.Context(), recordPrefix+h.ChangeID)
+		text, err := a.store.Object(t.Context(), recordPrefix+h.ChangeID)
 		if err != nil || json.Unmarshal(text, &record) != nil || record.By != "ann" || record.Action != ActionApplyConfig {
 			t.Errorf("the record of version %d is %s, error %v", h.Number, text, err)
 		}
 	}
 }
 
-// TestConfigVerdictsWithoutPlatform asks for changes while the platform is down:
-// one that was never asked for before is refused, a repeated one unknown.
+// TestConfigVerdictsWithoutPlatform requests changes while the platform is down. A
+// first request is refused; the outcome of a repeated request is unknown.
 func TestConfigVerdictsWithoutPlatform(t *testing.T) {
-	b, _ := newConfigBench(t, emulator.Faults{Down: true})
+	a, _ := newConfigAPI(t, emulator.Faults{Down: true})
 	for repeated, want := range map[bool]versioner.Verdict{false: versioner.VerdictRefused, true: versioner.VerdictUnknown} {
 		change := configChange(0, 1)
 		change.Repeated = repeated
 		r := httptest.NewRequest(http.MethodPost, configVersions, bytes.NewReader(encode(change)))
 		r.Header.Set("Role", "operator")
 		w := httptest.NewRecorder()
-		b.mux.ServeHTTP(w, r)
+		a.mux.ServeHTTP(w, r)
 		var got ConfigApplied
 		if err := json.Unmarshal(w.Body.Bytes(), &got); err != nil {
 			t.Fatalf("%s: %v", w.Body, err)
@@ -101,26 +101,26 @@
 	}
 }
 
-// TestConfigNotSent asks for a change when the time for it is over. Nothing was
-// sent, so that the change is refused and not unknown.
+// TestConfigNotSent requests a change with a context that has already ended. Nothing
+// was sent, so the verdict must be refused, not unknown.
 func TestConfigNotSent(t *testing.T) {
-	b, clients := newConfigBench(t, emulator.Faults{})
-	over, cancel := context.WithCancel(t.Context())
+	a, clients := newConfigAPI(t, emulator.Faults{})
+	expired, cancel := context.WithCancel(t.Context())
 	cancel()
-	report, err := clients("operator").ApplyConfig(over, numbered(1), configChange(0, 1))
+	report, err := clients("operator").ApplyConfig(expired, numberedChangeID(1), configChange(0, 1))
 	if err != nil || report.Verdict != versioner.VerdictRefused || report.Reason != versioner.ReasonUnavailable {
 		t.Errorf("the change is %+v, error %v", report, err)
 	}
-	if rows := b.platform.Read(configurer.HistoryPrefix).Rows; len(rows) != 0 {
+	if rows := a.platform.Read(configurer.HistoryPrefix).Rows; len(rows) != 0 {
 		t.Errorf("there are %d versions, want none", len(rows))
 	}
 }
 
-// TestConfigFaults checks the status and title of what cannot be asked for, and
-// that a whole version, which has the hashes of tokens, is for operators only.
-func TestConfigFaults(t *testing.T) {
-	b, clients := newConfigBench(t, emulator.Faults{})
-	if _, err := clients("operator").ApplyConfig(t.Context(), numbered(1), configChange(0, 1)); err != nil {
+// TestConfigErrors checks the status and title of the responses to invalid requests,
+// and that only operators can read a whole version, which contains hashes of tokens.
+func TestConfigErrors(t *testing.T) {
+	a, clients := newConfigAPI(t, emulator.Faults{})
+	if _, err := clients("operator").ApplyConfig(t.Context(), numberedChangeID(1), configChange(0, 1)); err != nil {
 		t.Fatal(err)
 	}
 	for _, test := range []struct {
@@ -143,14 +143,14 @@
 		r := httptest.NewRequest(test.method, test.path, bytes.NewReader([]byte(test.body)))
 		r.Header.Set("Role", test.role)
 		w := httptest.NewRecorder()
-		b.mux.ServeHTTP(w, r)
+		a.mux.ServeHTTP(w, r)
 		var p submitter.Problem
 		_ = json.Unmarshal(w.Body.Bytes(), &p)
 		if w.Code != test.status || p.Title != test.title {
 			t.Errorf("%s %s as %s with %s: status %d, %s", test.method, test.path, test.role, test.body, w.Code, w.Body)
 		}
 	}
-	if rows := b.platform.Read(configurer.HistoryPrefix).Rows; len(rows) != 1 {
+	if rows := a.platform.Read(configurer.HistoryPrefix).Rows; len(rows) != 1 {
 		t.Errorf("there are %d versions, want 1", len(rows))
 	}
 }
--- a/internal/administrator/error.go
+++ b/internal/administrator/error.go
@@ -6,7 +6,7 @@
 	"github.com/juju/errors"
 )
 
-// Kind says what went wrong with a call of the administration API.
+// Kind classifies the failure of a call to the administration API.
 type Kind string
 
 // The kinds of errors of this package.
--- a/internal/administrator/hold.go
+++ b/internal/administrator/hold.go
@@ -14,8 +14,8 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// HoldPrefix is the prefix of the rows that keep work from upstreams and
-// entries. A row stands while the hold does.
+// HoldPrefix is the prefix of the table rows of holds. A hold keeps new work from an
+// upstream or an entry for as long as its row exists.
 const HoldPrefix = "holds/"
 
 const (
@@ -23,7 +23,7 @@
 	entryHolds    = HoldPrefix + "entries/"
 )
 
-// holdRow is the value of a row.
+// holdRow is the value of the row of a hold.
 type holdRow struct {
 	Hold     placer.Hold `json:"hold"`
 	By       string      `json:"by"`
@@ -31,10 +31,10 @@
 	ChangeID string      `json:"change-id"`
 }
 
-// forgetAfter is how old a hold must be before it is removed if its upstream or
-// entry is not known any more. The names are those of one run of a process, so
-// that one that is gone for so long does not come back.
-const forgetAfter = 24 * time.Hour
+// holdRetention is the minimum age at which a hold is deleted if its upstream or
+// entry is no longer known. A peer name belongs to one run of a process, so a name
+// that has been absent for that long does not return.
+const holdRetention = 24 * time.Hour
 
 // Holds are all holds in force.
 type Holds struct {
@@ -42,8 +42,7 @@
 	Entries   map[messenger.Peer]bool
 }
 
-// ReadHolds reads the rows below [HoldPrefix]. Rows that cannot be read are
-// left out.
+// ReadHolds decodes the rows below [HoldPrefix]. It skips rows that it cannot decode.
 func ReadHolds(rows storer.Range) Holds {
 	h := Holds{Upstreams: make(map[messenger.Peer]placer.Hold), Entries: make(map[messenger.Peer]bool)}
 	for _, row := range rows.Rows {
@@ -61,7 +60,7 @@
 	return h
 }
 
-// released returns the hold that an action takes away; empty if it sets one.
+// released returns the hold that an action removes; empty if the action sets a hold.
 func released(a Action) placer.Hold {
 	switch a {
 	case ActionUndrainUpstream, ActionUndrainEntry:
@@ -72,9 +71,9 @@
 	return ""
 }
 
-// writeHold sets a hold, or takes one away if it is empty. The change id is the
-// request id of the transaction, so that a repeated change is recognised by the
-// table, and the record of the change is written in the same transaction.
+// writeHold sets a hold, or removes the present one if hold is empty. The change id
+// is the request id of the transaction, so that the table detects a repeated change.
+// The record of the change is written in the same transaction.
 func (s *Service) writeHold(ctx context.Context, key string, hold placer.Hold, record *Record) *submitter.Problem {
 	rows, err := s.o.Read(ctx, key)
 	if err != nil {
@@ -84,7 +83,7 @@
 			Detail: "nothing was changed",
 		}
 	}
-	before, revision := rowOf(rows, key)
+	current, revision := findHold(rows, key)
 	t := storer.Transaction{
 		RequestID:  record.ChangeID,
 		Conditions: []storer.Condition{{Key: key, Revision: revision}},
@@ -98,29 +97,31 @@
 			At:       record.At,
 			ChangeID: record.ChangeID,
 		})}}
-	case before == "":
+	case current == "":
 		record.Detail = "was not held"
 		return nil
-	case before != released(record.Action):
+	case current != released(record.Action):
 		return &submitter.Problem{
 			Status: http.StatusConflict,
 			Title:  "it is held in another way",
-			Detail: "it is " + string(before) + "; the operator who did so used another action",
+			Detail: "it is " + string(current) + "; the operator who did so used another action",
 		}
 	default:
-		record.Detail = "no longer " + string(before)
+		record.Detail = "no longer " + string(current)
 		t.Deletes = []string{key}
 	}
 	t.Puts = append(t.Puts, recordPut(record))
 	return s.writeTransaction(ctx, t)
 }
 
-// recordPut returns the row that holds a record until it is in the object store.
+// recordPut returns the write of the row that holds a record until the record is in
+// the object store.
 func recordPut(record *Record) storer.Put {
 	return storer.Put{Key: recordPrefix + record.ChangeID, Value: encode(record)}
 }
 
-// encode marshals a type of this package, which cannot fail.
+// encode marshals a value of a type of this package. These types always marshal, so
+// encode panics on an error.
 func encode(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -148,16 +149,18 @@
 	return nil
 }
 
-// tellHolds lets every entry read the holds now.
-func (s *Service) tellHolds(ctx context.Context) []Silent {
+// notifyHolds makes every entry read the holds now. It returns the entries that did
+// not answer.
+func (s *Service) notifyHolds(ctx context.Context) []Silent {
 	_, silent := gather[json.RawMessage](ctx, s, CallHolds, nil)
 	return silent
 }
 
-// forgetHolds removes the old holds below a prefix whose holders are not known any
-// more. It does nothing without the names of all. What fails is done at the next
-// hold.
-func (s *Service) forgetHolds(ctx context.Context, prefix string, known []messenger.Peer) {
+// deleteStaleHolds deletes the holds below a prefix that are older than
+// [holdRetention] and whose upstream or entry is not in known. It does nothing if
+// known is nil, since the caller then has no complete list. It ignores errors, since
+// the next hold repeats the deletion.
+func (s *Service) deleteStaleHolds(ctx context.Context, prefix string, known []messenger.Peer) {
 	if known == nil {
 		return
 	}
@@ -169,7 +172,7 @@
 	for _, row := range rows.Rows {
 		var v holdRow
 		peer := messenger.Peer(strings.TrimPrefix(row.Key, prefix))
-		if json.Unmarshal(row.Value, &v) != nil || s.o.Now().Sub(v.At) < forgetAfter || slices.Contains(known, peer) {
+		if json.Unmarshal(row.Value, &v) != nil || s.o.Now().Sub(v.At) < holdRetention || slices.Contains(known, peer) {
 			continue
 		}
 		t.Conditions = append(t.Conditions, storer.Condition{Key: row.Key, Revision: row.Revision})
@@ -180,8 +183,9 @@
 	}
 }
 
-// rowOf returns the hold and the revision of the row with exactly the key.
-func rowOf(rows storer.Range, key string) (placer.Hold, uint64) {
+// findHold returns the hold and the revision of the row whose key is exactly the
+// given one. The range may also have rows of longer keys.
+func findHold(rows storer.Range, key string) (placer.Hold, uint64) {
 	for _, row := range rows.Rows {
 		if row.Key != key {
 			continue
--- a/internal/administrator/hold_change.go
+++ b/internal/administrator/hold_change.go
@@ -13,7 +13,7 @@
 )
 
 // changeUpstream drains, undrains, ejects or restores an upstream.
-func (s *Service) changeUpstream(r *http.Request, who authenticator.Principal) (any, *submitter.Problem) {
+func (s *Service) changeUpstream(r *http.Request, principal authenticator.Principal) (any, *submitter.Problem) {
 	peer := r.PathValue("peer")
 	action := Action(r.PathValue("action") + "-upstream")
 	var hold placer.Hold
@@ -26,13 +26,13 @@
 	default:
 		return nil, noSuchAction()
 	}
-	return s.change(r, who, action, peer, func(ctx context.Context, record *Record) ([]Silent, *submitter.Problem) {
+	return s.change(r, principal, action, peer, func(ctx context.Context, record *Record) ([]Silent, *submitter.Problem) {
 		if hold != "" {
 			known, problem := s.findUpstream(ctx, peer)
 			if problem != nil {
 				return nil, problem
 			}
-			s.forgetHolds(ctx, upstreamHolds, known)
+			s.deleteStaleHolds(ctx, upstreamHolds, known)
 		}
 		if problem := s.writeHold(ctx, upstreamHolds+peer, hold, record); problem != nil {
 			return nil, problem
@@ -40,12 +40,12 @@
 		if action == ActionRestoreUpstream {
 			s.endEjections(ctx, peer, record)
 		}
-		return s.tellHolds(ctx), nil
+		return s.notifyHolds(ctx), nil
 	})
 }
 
-// endEjections ends the ejections of an upstream by the entries themselves. The
-// entries that do not answer find out by probes.
+// endEjections ends the automatic ejections of an upstream at all entries. Entries
+// that do not answer end their ejections when a probe succeeds.
 func (s *Service) endEjections(ctx context.Context, peer string, record *Record) {
 	parts, _ := gather[Restored](ctx, s, CallRestore, encode(Restore{Peer: messenger.Peer(peer)}))
 	ended := 0
@@ -60,7 +60,7 @@
 }
 
 // changeEntry drains or undrains an entry.
-func (s *Service) changeEntry(r *http.Request, who authenticator.Principal) (any, *submitter.Problem) {
+func (s *Service) changeEntry(r *http.Request, principal authenticator.Principal) (any, *submitter.Problem) {
 	peer := r.PathValue("peer")
 	action := Action(r.PathValue("action") + "-entry")
 	var hold placer.Hold
@@ -71,23 +71,23 @@
 	default:
 		return nil, noSuchAction()
 	}
-	return s.change(r, who, action, peer, func(ctx context.Context, record *Record) ([]Silent, *submitter.Problem) {
+	return s.change(r, principal, action, peer, func(ctx context.Context, record *Record) ([]Silent, *submitter.Problem) {
 		if hold != "" {
 			known, problem := s.findEntry(ctx, peer)
 			if problem != nil {
 				return nil, problem
 			}
-			s.forgetHolds(ctx, entryHolds, known)
+			s.deleteStaleHolds(ctx, entryHolds, known)
 		}
 		if problem := s.writeHold(ctx, entryHolds+peer, hold, record); problem != nil {
 			return nil, problem
 		}
-		return s.tellHolds(ctx), nil
+		return s.notifyHolds(ctx), nil
 	})
 }
 
-// findUpstream returns the names of all upstreams if the given one is among them.
-// The names are nil if some entry did not answer.
+// findUpstream checks that the upstream exists and returns the names of all upstreams,
+// or nil if an entry did not answer, since the list would then be incomplete.
 func (s *Service) findUpstream(ctx context.Context, peer string) ([]messenger.Peer, *submitter.Problem) {
 	parts, silent := gather[[]Upstream](ctx, s, CallUpstreams, nil)
 	var known []messenger.Peer
@@ -105,7 +105,7 @@
 	return nil, &submitter.Problem{Status: http.StatusNotFound, Title: "no such upstream", Detail: "no entry that answered is connected to it"}
 }
 
-// findEntry returns the names of all entries if the given one is among them.
+// findEntry checks that the entry exists and returns the names of all entries.
 func (s *Service) findEntry(ctx context.Context, peer string) ([]messenger.Peer, *submitter.Problem) {
 	var known []messenger.Peer
 	for _, p := range s.o.AskAll(ctx, CallEntry, nil) {
--- a/internal/administrator/listing.go
+++ b/internal/administrator/listing.go
@@ -12,9 +12,9 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Service quantities as the API lists them.
+// The rows of the API's listings of services and teams.
 type (
-	// ServiceRow is one service with its present work.
+	// ServiceRow is one service with its current jobs and tasks.
 	ServiceRow struct {
 		Name         string             `json:"name"`
 		Path         string             `json:"path"`
@@ -29,13 +29,13 @@
 	// TeamRow is one team with its usage against its quota.
 	TeamRow struct {
 		Name string `json:"name"`
-		// Slots and StartsPerSecond are the quota; 0 means no bound.
+		// Slots and StartsPerSecond are the quota; 0 means unlimited.
 		Slots           int     `json:"slots"`
 		StartsPerSecond float64 `json:"starts-per-second"`
 		// Tokens is the number of valid tokens.
 		Tokens   int `json:"tokens"`
 		OpenJobs int `json:"open-jobs"`
-		// WaitingTasks wait for a place; SentTasks use slots.
+		// WaitingTasks have not been scheduled on an upstream; SentTasks use slots.
 		WaitingTasks int `json:"waiting-tasks"`
 		SentTasks    int `json:"sent-tasks"`
 	}
@@ -60,11 +60,11 @@
 	for _, p := range parts {
 		all = append(all, p.part...)
 	}
-	return Listing[Upstream]{Items: joinUpstreams(all), Silent: silent}, nil
+	return Listing[Upstream]{Items: mergeUpstreams(all), Silent: silent}, nil
 }
 
-// joinUpstreams joins what the entries say about the same upstream.
-func joinUpstreams(all []Upstream) []Upstream {
+// mergeUpstreams merges the views that the entries have of each upstream.
+func mergeUpstreams(all []Upstream) []Upstream {
 	out := []Upstream{}
 	index := make(map[string]int)
 	for _, u := range all {
@@ -89,12 +89,12 @@
 
 func (s *Service) partitions(r *http.Request, _ authenticator.Principal) (any, *submitter.Problem) {
 	parts, silent := gather[[]Partition](r.Context(), s, CallPartitions, nil)
-	return Listing[Partition]{Items: joinPartitions(parts), Silent: silent}, nil
+	return Listing[Partition]{Items: mergePartitions(parts), Silent: silent}, nil
 }
 
-// joinPartitions takes for each partition the view with the highest epoch, and
-// of several such that of the owner itself.
-func joinPartitions(parts []answered[[]Partition]) []Partition {
+// mergePartitions takes for each partition the view with the highest epoch. Among
+// views of the same epoch it prefers the owner's own.
+func mergePartitions(parts []entryPart[[]Partition]) []Partition {
 	out := make([]Partition, identifier.Partitions)
 	for i := range out {
 		out[i].Partition = identifier.Partition(i)
@@ -113,7 +113,8 @@
 	return out
 }
 
-// config lists how every process stands to the current version.
+// config lists the configuration version of every process, compared with the current
+// version.
 func (s *Service) config(r *http.Request, _ authenticator.Principal) (any, *submitter.Problem) {
 	parts, silent := gather[[]ConfigStatus](r.Context(), s, CallConfig, nil)
 	var lists [][]ConfigStatus
@@ -152,11 +153,11 @@
 	u.SentTasks += o.SentTasks
 }
 
-// total sums the usage that is of the kind asked for.
-func total(usage []Usage, of func(*Usage) bool) Usage {
+// totalUsage sums the usage for which matches is true.
+func totalUsage(usage []Usage, matches func(*Usage) bool) Usage {
 	var out Usage
 	for i := range usage {
-		if of(&usage[i]) {
+		if matches(&usage[i]) {
 			out.add(&usage[i])
 		}
 	}
@@ -176,7 +177,7 @@
 	usage, silent := s.usage(r)
 	out := Listing[ServiceRow]{Items: []ServiceRow{}, Silent: silent}
 	for _, c := range config.Services {
-		now := total(usage, func(u *Usage) bool { return u.Service == c.Name })
+		work := totalUsage(usage, func(u *Usage) bool { return u.Service == c.Name })
 		out.Items = append(out.Items, ServiceRow{
 			Name:         c.Name,
 			Path:         c.Path,
@@ -184,9 +185,9 @@
 			Latency:      submitter.Duration(c.Objective.Latency),
 			LatencyRatio: c.Objective.LatencyRatio,
 			SuccessRatio: c.Objective.SuccessRatio,
-			OpenJobs:     now.OpenJobs,
-			WaitingTasks: now.WaitingTasks,
-			SentTasks:    now.SentTasks,
+			OpenJobs:     work.OpenJobs,
+			WaitingTasks: work.WaitingTasks,
+			SentTasks:    work.SentTasks,
 		})
 	}
 	return out, nil
@@ -200,15 +201,15 @@
 	usage, silent := s.usage(r)
 	out := Listing[TeamRow]{Items: []TeamRow{}, Silent: silent}
 	for _, c := range config.Teams {
-		now := total(usage, func(u *Usage) bool { return u.Team == c.Name })
+		work := totalUsage(usage, func(u *Usage) bool { return u.Team == c.Name })
 		out.Items = append(out.Items, TeamRow{
 			Name:            c.Name,
 			Slots:           c.Slots,
 			StartsPerSecond: c.StartsPerSecond,
 			Tokens:          len(c.TokenHashes),
-			OpenJobs:        now.OpenJobs,
-			WaitingTasks:    now.WaitingTasks,
-			SentTasks:       now.SentTasks,
+			OpenJobs:        work.OpenJobs,
+			WaitingTasks:    work.WaitingTasks,
+			SentTasks:       work.SentTasks,
 		})
 	}
 	return out, nil
@@ -218,7 +219,7 @@
 	return s.askOwner(r, CallJob)
 }
 
-// askOwner asks the owner of the job that the path names.
+// askOwner sends a call to the owner of the job that the path names.
 func (s *Service) askOwner(r *http.Request, call Call) (*JobState, *submitter.Problem) {
 	id, err := identifier.Parse(r.PathValue("submission"))
 	if err != nil {
@@ -250,7 +251,8 @@
 	return reply.State, nil
 }
 
-// UndecidedJob is the problem of a call for a job that the owner cannot decide yet.
+// UndecidedJob is the problem of a request for a job of which the owner cannot yet
+// decide whether it exists.
 func UndecidedJob() *submitter.Problem {
 	return &submitter.Problem{
 		Status: http.StatusServiceUnavailable,
--- a/internal/administrator/role_test.go
+++ b/internal/administrator/role_test.go
@@ -13,24 +13,24 @@
 
 var pathValue = regexp.MustCompile(`\{[a-z]+\}`)
 
-// TestRolesOfEveryRoute calls every route as nobody, as a caller, as a viewer and as
-// an operator. Every POST is an operator's, whatever the table says, and what is
-// refused writes nothing.
+// TestRolesOfEveryRoute calls every route without a role and as a caller, a viewer and
+// an operator. Only operators may use a POST route, whatever the tables of routes
+// contain, and a refused request must write nothing.
 func TestRolesOfEveryRoute(t *testing.T) {
-	b, _ := newConfigBench(t, emulator.Faults{})
-	b.parts = map[Call][]Part{CallJob: {{Peer: "e1"}}, CallCancelJob: {{Peer: "e1"}}}
-	s := New(b.options())
+	a, _ := newConfigAPI(t, emulator.Faults{})
+	a.parts = map[Call][]Part{CallJob: {{Peer: "e1"}}, CallCancelJob: {{Peer: "e1"}}}
+	s := New(a.options())
 	allowed := map[string][]string{"GET /burn": {"viewer", "operator"}}
-	for pattern := range s.reads() {
+	for pattern := range s.readRoutes() {
 		allowed[pattern] = []string{"viewer", "operator"}
 	}
-	for pattern := range s.changes() {
+	for pattern := range s.operatorRoutes() {
 		allowed[pattern] = []string{"operator"}
 	}
-	if len(allowed) != len(s.reads())+len(s.changes())+1 {
+	if len(allowed) != len(s.readRoutes())+len(s.operatorRoutes())+1 {
 		t.Error("a route is both a read and a change")
 	}
-	for pattern := range s.reads() {
+	for pattern := range s.readRoutes() {
 		if !strings.HasPrefix(pattern, http.MethodGet+" ") {
 			t.Errorf("%s is open to viewers", pattern)
 		}
@@ -42,21 +42,21 @@
 			r := httptest.NewRequest(method, path, nil)
 			r.Header.Set("Role", role)
 			w := httptest.NewRecorder()
-			b.mux.ServeHTTP(w, r)
-			letIn := w.Code != http.StatusForbidden
-			if want := slices.Contains(roles, role); letIn != want {
-				t.Errorf("%s as %q: status %d, want let in: %t", pattern, role, w.Code, want)
+			a.mux.ServeHTTP(w, r)
+			accepted := w.Code != http.StatusForbidden
+			if want := slices.Contains(roles, role); accepted != want {
+				t.Errorf("%s as %q: status %d, want accepted: %t", pattern, role, w.Code, want)
 			}
 		}
 	}
-	if rows := b.platform.Read("").Rows; len(rows) != 0 {
+	if rows := a.platform.Read("").Rows; len(rows) != 0 {
 		t.Errorf("%d rows were written, the first %s", len(rows), rows[0].Key)
 	}
 }
 
-// FuzzConfigChange checks that no body makes the decoder panic, that every refusal
-// is the operator's fault with a title and writes nothing, and that what is accepted
-// is one version.
+// FuzzConfigChange checks that no body makes the decoder panic, that every refusal has
+// a 4xx status and a body and writes nothing, and that every accepted body makes
+// exactly one version.
 func FuzzConfigChange(f *testing.F) {
 	for _, body := range []string{
 		`{"expect-version":0,"base":"` + strings.ReplaceAll(baseWithSlots(1), "\n", `\n`) + `"}`,
@@ -70,12 +70,12 @@
 		f.Add(body)
 	}
 	f.Fuzz(func(t *testing.T, body string) {
-		b, _ := newConfigBench(t, emulator.Faults{})
+		a, _ := newConfigAPI(t, emulator.Faults{})
 		r := httptest.NewRequest(http.MethodPost, configVersions, strings.NewReader(body))
 		r.Header.Set("Role", "operator")
 		w := httptest.NewRecorder()
-		b.mux.ServeHTTP(w, r)
-		versions := len(b.platform.Read("config/history/").Rows)
+		a.mux.ServeHTTP(w, r)
+		versions := len(a.platform.Read("config/history/").Rows)
 		switch {
 		case w.Code == http.StatusOK && versions == 1:
 		case w.Code >= 400 && w.Code < 500 && versions == 0 && w.Body.Len() > 0:
--- a/internal/administrator/roster.go
+++ b/internal/administrator/roster.go
@@ -18,12 +18,12 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// RosterAgent is one agent of a region's roster as one entry, or all of them
-// together, see it.
+// RosterAgent is one agent of a region's roster as seen by one entry, or merged over
+// all entries.
 type RosterAgent struct {
 	Peer   messenger.Peer `json:"peer"`
 	Region string         `json:"region"`
-	// Version is that of the region's roster.
+	// Version is the version of the region's roster.
 	Version    uint64                   `json:"version"`
 	DataCentre string                   `json:"data-centre,omitempty"`
 	Rack       string                   `json:"rack,omitempty"`
@@ -31,12 +31,13 @@
 	Witness    coordinator.WitnessState `json:"witness,omitempty"`
 	// ConnectedTo counts the entries that are connected to the agent.
 	ConnectedTo int `json:"connected-to"`
-	// Fencing counts the partitions that have no active owner and wait, among
-	// others, for the agent.
+	// Fencing counts the partitions that have no active owner and whose fencing still
+	// waits for this agent, possibly among others.
 	Fencing int `json:"partitions-fencing"`
-	// Missing counts the partitions whose owner lacks the agent's records.
+	// Missing counts the partitions whose owner has not received the agent's records.
 	Missing int `json:"partitions-missing"`
-	// Heir is the agent that has the records of one that left in good order.
+	// Successor is the agent that took over the records when this one left in an
+	// orderly shutdown.
 	Successor messenger.Peer `json:"heir,omitempty"`
 	// DeclaredAt is when an operator declared the agent dead.
 	DeclaredAt *time.Time `json:"declared-at,omitempty"`
@@ -44,12 +45,12 @@
 
 func (s *Service) roster(r *http.Request, _ authenticator.Principal) (any, *submitter.Problem) {
 	parts, silent := gather[[]RosterAgent](r.Context(), s, CallRoster, nil)
-	return Listing[RosterAgent]{Items: joinRoster(parts), Silent: silent}, nil
+	return Listing[RosterAgent]{Items: mergeRoster(parts), Silent: silent}, nil
 }
 
-// joinRoster takes each agent as the entry with the latest roster sees it, and sums
-// what the entries count.
-func joinRoster(parts []answered[[]RosterAgent]) []RosterAgent {
+// mergeRoster takes each agent from an entry with the latest roster version of its
+// region, and sums the counts over all entries.
+func mergeRoster(parts []entryPart[[]RosterAgent]) []RosterAgent {
 	latest := make(map[string]uint64)
 	for _, p := range parts {
 		for _, a := range p.part {
@@ -73,8 +74,8 @@
 	return out
 }
 
-// addRosterAgent adds what one entry sees. An agent that only an old roster has is
-// left out.
+// addRosterAgent adds the view of one entry. current is true if that entry has the
+// latest roster; an agent that is only in older rosters is skipped.
 func addRosterAgent(out []RosterAgent, index map[messenger.Peer]int, a RosterAgent, current bool) []RosterAgent {
 	i, ok := index[a.Peer]
 	switch {
@@ -89,9 +90,9 @@
 	return out
 }
 
-// declareDead writes that agents are dead into the roster of their region. The
-// query names the agents and the version of the roster that the operator has seen.
-func (s *Service) declareDead(r *http.Request, who authenticator.Principal) (any, *submitter.Problem) {
+// declareDead declares agents dead in the roster of their region. The query names the
+// agents and the version of the roster that the operator has seen.
+func (s *Service) declareDead(r *http.Request, principal authenticator.Principal) (any, *submitter.Problem) {
 	agents := slices.Clone(r.URL.Query()["agent"])
 	slices.Sort(agents)
 	agents = slices.Compact(agents)
@@ -103,17 +104,18 @@
 			Detail: "it must name agents, and the version of the roster that you have seen as expect-version",
 		}
 	}
-	return s.change(r, who, ActionDeclareDead, strings.Join(agents, ","),
+	return s.change(r, principal, ActionDeclareDead, strings.Join(agents, ","),
 		func(ctx context.Context, record *Record) ([]Silent, *submitter.Problem) {
 			return s.writeDeclaration(ctx, record, agents, expect)
 		})
 }
 
-// writeDeclaration makes the change. The write is on condition that the roster is
-// the one that the operator has seen.
+// writeDeclaration writes the new roster, on condition that the present one still has
+// the version that the operator has seen. It refuses if an entry is connected to one
+// of the agents.
 func (s *Service) writeDeclaration(ctx context.Context, record *Record, agents []string, expect uint64) ([]Silent, *submitter.Problem) {
 	parts, silent := gather[[]RosterAgent](ctx, s, CallRoster, nil)
-	for _, a := range joinRoster(parts) {
+	for _, a := range mergeRoster(parts) {
 		if a.ConnectedTo > 0 && slices.Contains(agents, string(a.Peer)) {
 			return nil, &submitter.Problem{
 				Status: http.StatusConflict,
@@ -130,7 +132,7 @@
 			Detail: "nothing was changed",
 		}
 	}
-	current, next, problem := declared(registrar.ReadRosters(rows), agents, record.At)
+	current, next, problem := declareInRoster(registrar.ReadRosters(rows), agents, record.At)
 	if problem != nil {
 		return nil, problem
 	}
@@ -152,25 +154,26 @@
 	})
 }
 
-// declared returns the one roster that knows all agents, and the one that follows.
-func declared(rosters []registrar.RegionRoster, agents []string, at time.Time) (current registrar.RegionRoster, next registrar.Roster, problem *submitter.Problem) {
+// declareInRoster returns the roster that has all the agents, and the next version of
+// it, in which they are declared dead.
+func declareInRoster(rosters []registrar.RegionRoster, agents []string, at time.Time) (current registrar.RegionRoster, next registrar.Roster, problem *submitter.Problem) {
 	dead := make([]messenger.Peer, len(agents))
 	for i, a := range agents {
 		dead[i] = messenger.Peer(a)
 	}
-	fewest := dead
+	fewestUnknown := dead
 	for _, current := range rosters {
 		next, unknown := enroller.Declare(current.Roster, dead, at)
 		if len(unknown) == 0 {
 			return current, next, nil
 		}
-		if len(unknown) < len(fewest) {
-			fewest = unknown
+		if len(unknown) < len(fewestUnknown) {
+			fewestUnknown = unknown
 		}
 	}
 	return current, next, &submitter.Problem{
 		Status: http.StatusNotFound,
 		Title:  "no roster has all these agents",
-		Detail: "not known in their region: " + string(fewest[0]),
+		Detail: "not known in their region: " + string(fewestUnknown[0]),
 	}
 }
--- a/internal/administrator/service.go
+++ b/internal/administrator/service.go
@@ -15,17 +15,18 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// HeaderChangeID carries the id of a change that the operator chose.
+// HeaderChangeID is the request header with the change id that the operator chose.
 const HeaderChangeID = "Sardinelock-Change-Id"
 
-// Options are what the administration API needs of its entry. All functions must
-// be set and be safe for calls on several goroutines.
+// Options are the functions and settings that the entry provides to its
+// administration API. All functions must be set and be safe for concurrent use.
 type Options struct {
-	// Authenticate returns who a request comes from if its role is among those given.
+	// Authenticate returns the principal of a request if it has one of the roles.
 	Authenticate func(r *http.Request, roles ...authenticator.Role) (authenticator.Principal, *submitter.Problem)
-	// AskAll asks every known entry, this one included, in order of their names.
+	// AskAll sends a call to every known entry, including this one, and returns the
+	// parts in order of the entries' names.
 	AskAll func(ctx context.Context, call Call, body []byte) []Part
-	// AskOwner asks the owner of a submission.
+	// AskOwner sends a call to the owner of a submission.
 	AskOwner func(ctx context.Context, s identifier.Submission, call Call, body []byte) Part
 	// Config returns the configuration in force and its version, or nil and 0.
 	Config func() (*configurer.Config, uint64)
@@ -35,11 +36,12 @@
 	Object    func(ctx context.Context, key string) ([]byte, error)
 	Objects   func(ctx context.Context, prefix string) ([]string, error)
 	PutObject func(ctx context.Context, key string, body []byte) error
-	// Now returns the time and Pause waits.
+	// Now returns the current time. Pause waits for a duration or until the context
+	// ends.
 	Now   func() time.Time
 	Pause func(ctx context.Context, d time.Duration)
-	// ConfigPatience is how long a call tries to learn what became of a change of
-	// the configuration.
+	// ConfigTimeout is how long a request tries to determine the outcome of a change
+	// of the configuration.
 	ConfigTimeout time.Duration
 }
 
@@ -49,7 +51,7 @@
 	versions *versioner.Versioner
 }
 
-// New returns a service.
+// New returns a service with the options.
 func New(o Options) *Service {
 	return &Service{o: o, versions: &versioner.Versioner{
 		Read:      o.Read,
@@ -63,17 +65,17 @@
 
 // Register adds the routes of the API.
 func (s *Service) Register(mux *http.ServeMux) {
-	for pattern, f := range s.reads() {
+	for pattern, f := range s.readRoutes() {
 		mux.HandleFunc(pattern, s.serve(f, authenticator.RoleViewer, authenticator.RoleOperator))
 	}
-	for pattern, f := range s.changes() {
+	for pattern, f := range s.operatorRoutes() {
 		mux.HandleFunc(pattern, s.serve(f, authenticator.RoleOperator))
 	}
 	mux.HandleFunc("GET /burn", s.serveBurnPage)
 }
 
-// reads are the routes that viewers and operators may use.
-func (s *Service) reads() map[string]handler {
+// readRoutes are the routes that viewers and operators may use.
+func (s *Service) readRoutes() map[string]handler {
 	return map[string]handler{
 		"GET /v1/admin/entries":           s.entries,
 		"GET /v1/admin/upstreams":         s.upstreams,
@@ -90,9 +92,9 @@
 	}
 }
 
-// changes are the routes that only operators may use: those that change something,
-// and that of a whole version of the configuration.
-func (s *Service) changes() map[string]handler {
+// operatorRoutes are the routes that only operators may use: all changes, and the
+// read of a whole version of the configuration, which contains hashes of tokens.
+func (s *Service) operatorRoutes() map[string]handler {
 	return map[string]handler{
 		"GET /v1/admin/config/versions/{number}":   s.configVersion,
 		"POST /v1/admin/config/versions":           s.applyConfig,
@@ -105,17 +107,17 @@
 	}
 }
 
-// handler answers one call with a value to be written as JSON, or a problem.
-type handler func(r *http.Request, who authenticator.Principal) (any, *submitter.Problem)
+// handler handles one request and returns a value to be written as JSON, or a problem.
+type handler func(r *http.Request, principal authenticator.Principal) (any, *submitter.Problem)
 
 func (s *Service) serve(f handler, roles ...authenticator.Role) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		who, problem := s.o.Authenticate(r, roles...)
+		principal, problem := s.o.Authenticate(r, roles...)
 		if problem != nil {
 			writeProblem(w, problem)
 			return
 		}
-		v, problem := f(r, who)
+		v, problem := f(r, principal)
 		if problem != nil {
 			writeProblem(w, problem)
 			return
@@ -124,27 +126,28 @@
 		if a, ok := v.(*ConfigApplied); ok {
 			w.WriteHeader(a.status())
 		}
-		// An error here means that the client has gone.
+		// Encode fails only if the client has closed the connection.
 		_ = json.NewEncoder(w).Encode(v)
 	}
 }
 
-// Listing is the joined answer of all entries.
+// Listing is the merged answer of all entries.
 type Listing[T any] struct {
 	Items []T `json:"items"`
-	// Silent lists the entries that did not answer; the items lack their part.
+	// Silent lists the entries that did not answer; their parts are missing from
+	// Items.
 	Silent []Silent `json:"silent,omitempty"`
 }
 
-// gather asks every entry and decodes the parts. It returns the parts in the
-// order of the entries' names, and the entries without one.
-func gather[T any](ctx context.Context, s *Service, call Call, body []byte) ([]answered[T], []Silent) {
+// gather sends a call to every entry and decodes the answers. It returns the parts in
+// order of the entries' names, and the entries that gave no readable answer.
+func gather[T any](ctx context.Context, s *Service, call Call, body []byte) ([]entryPart[T], []Silent) {
 	var (
-		out    []answered[T]
+		out    []entryPart[T]
 		silent []Silent
 	)
 	for _, p := range s.o.AskAll(ctx, call, body) {
-		a := answered[T]{peer: p.Peer}
+		a := entryPart[T]{peer: p.Peer}
 		detail := p.Detail
 		if detail == "" {
 			if err := json.Unmarshal(p.Body, &a.part); err != nil {
@@ -160,8 +163,8 @@
 	return out, silent
 }
 
-// answered is the decoded part of one entry.
-type answered[T any] struct {
+// entryPart is the decoded part of one entry.
+type entryPart[T any] struct {
 	peer messenger.Peer
 	part T
 }
