--- a/internal/reporter/error.go
+++ b/internal/reporter/error.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind says what went wrong with a report.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of errors of this package.
--- a/internal/reporter/page.go
+++ b/internal/reporter/page.go
@@ -26,8 +26,8 @@
 	"moment":   func(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05 UTC") },
 }).Parse(pageText))
 
-// Page returns the report as a page for people, with a plot. It returns an error
-// of kind [KindPlot] if the page cannot be made.
+// Page renders the report as an HTML page with a plot. It returns an error of kind
+// [KindPlot] if rendering fails.
 func Page(r *Report, services []configurer.Service, counts *Snapshot) ([]byte, error) {
 	plot, err := Plot(r, services, counts)
 	if err != nil {
@@ -45,18 +45,18 @@
 	return buf.Bytes(), nil
 }
 
-// rateWindows returns the windows of the rates of an objective, in order.
+// rateWindows returns the windows of the burn rates of an objective, shortest first.
 func rateWindows() []submitter.Duration {
 	var out []submitter.Duration
-	for _, p := range pairs {
+	for _, p := range windowPairs {
 		out = append(out, submitter.Duration(p.short), submitter.Duration(p.long))
 	}
 	slices.Sort(out)
 	return out
 }
 
-// lineColour returns the colour of the line of the objective at an index, or ""
-// if it is not drawn.
+// lineColour returns the line colour of the objective at an index of
+// [Report.Objectives], or "" if the plot does not draw it.
 func lineColour(i int) template.CSS {
 	if i >= plotLines {
 		return ""
@@ -69,7 +69,8 @@
 
 func formatRate(v float64) string { return fmt.Sprintf("%.2f", v) }
 
-// formatDuration writes whole hours and minutes without their zero parts.
+// formatDuration writes whole days, hours and minutes as a number and a unit, such as
+// "6 h", and other durations as [time.Duration.String] does.
 func formatDuration(d submitter.Duration) string {
 	v := time.Duration(d)
 	switch {
--- a/internal/reporter/plot.go
+++ b/internal/reporter/plot.go
@@ -17,18 +17,19 @@
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
-	// plotSpan and plotStep are those of the middle tier.
+	// plotSpan and plotStep are the retention and the bucket width of the middle tier.
 	plotSpan = 6 * time.Hour
 	plotStep = 5 * time.Minute
-	// plotLines bounds the objectives that are drawn; the fastest come first.
+	// plotLines is the maximum number of objectives that are drawn, those with the
+	// highest burn rates.
 	plotLines = 6
-	// plotHeadroom and plotMargin leave room above the highest value and to the
-	// right of the last, in shares of the height and in hours.
+	// plotHeadroom is the top of the plot as a multiple of the highest value.
+	// plotMargin is the margin to the right of the last value, in hours.
 	plotHeadroom = 1.1
 	plotMargin   = 0.1
 )
 
-// palette has colours that are told apart by people who see colours otherwise.
+// palette has colours that people with colour vision deficiency can distinguish.
 var palette = [plotLines]color.RGBA{
 	{0x00, 0x72, 0xb2, 0xff},
 	{0xd5, 0x5e, 0x00, 0xff},
@@ -38,8 +39,9 @@
 	{0x56, 0xb4, 0xe9, 0xff},
 }
 
-// Plot draws the burn rate of the fastest objectives over the last six hours as
-// an SVG image. It returns an error of kind [KindPlot] if it cannot be drawn.
+// Plot draws the burn rates of the objectives that use up their budgets fastest, over
+// the last six hours, as an SVG image. It returns an error of kind [KindPlot] if
+// drawing fails.
 func Plot(r *Report, services []configurer.Service, counts *Snapshot) ([]byte, error) {
 	p := plot.New()
 	p.X.Label.Text = "hours before the report"
@@ -49,7 +51,7 @@
 	highest := 1.0
 	for i := range min(plotLines, len(r.Objectives)) {
 		b := &r.Objectives[i]
-		points := curve(r.Made, b, services, counts)
+		points := burnRatePoints(r.Made, b, services, counts)
 		if len(points) == 0 {
 			continue
 		}
@@ -62,7 +64,7 @@
 		}
 		line.Color = palette[i]
 		line.Width = vg.Points(1.5)
-		// A line of one step alone would not be seen.
+		// A line through a single point is invisible, so draw a dot at each point.
 		dots.Color = palette[i]
 		dots.Shape = draw.CircleGlyph{}
 		dots.Radius = vg.Points(2)
@@ -75,9 +77,9 @@
 	return render(p)
 }
 
-// addThresholds draws a line at each threshold that lies within the plot.
+// addThresholds draws a dashed line at each threshold up to the highest value.
 func addThresholds(p *plot.Plot, highest float64) {
-	for _, t := range pairs {
+	for _, t := range windowPairs {
 		if t.threshold > highest {
 			continue
 		}
@@ -111,8 +113,8 @@
 	return buf.Bytes(), nil
 }
 
-// curve returns the burn rate of each step that had jobs, the oldest first.
-func curve(now time.Time, b *Burn, services []configurer.Service, counts *Snapshot) plotter.XYs {
+// burnRatePoints returns the burn rate of each step that had jobs, oldest first.
+func burnRatePoints(now time.Time, b *Burn, services []configurer.Service, counts *Snapshot) plotter.XYs {
 	var service *configurer.Service
 	for i := range services {
 		if services[i].Name == b.Service {
@@ -134,7 +136,7 @@
 		}
 		out = append(out, plotter.XY{
 			X: max(at.Sub(now).Hours(), -plotSpan.Hours()),
-			Y: rate(service, b.Objective, bucket),
+			Y: burnRate(service, b.Objective, bucket),
 		})
 	}
 	return out
--- a/internal/reporter/recorder.go
+++ b/internal/reporter/recorder.go
@@ -1,13 +1,14 @@
-// Package reporter says how fast each service uses up its error budget.
+// Package reporter computes how fast each service uses up its error budget.
 //
 // Every answered job is an [Event] that is good or bad for each of the service's
 // two objectives, latency and success. A [Recorder] counts events in buckets of
-// three widths, so that windows from five minutes to thirty days can be summed at
-// bounded memory. A [Snapshot] is a recorder's content, as it goes to other
-// entries and to the object store; the snapshots of several entries add up. A
-// [Report] is what a snapshot says about the objectives at a time.
+// three widths, so that it can sum windows from five minutes to thirty days in
+// bounded memory. A [Snapshot] is the content of a recorder, which is sent to other
+// entries and written to the object store; [Sum] adds the snapshots of several
+// entries. A [Report] is the state of all objectives at one time, computed from a
+// snapshot.
 //
-// The package does no I/O and reads no clock: every call is given the time.
+// The package does no I/O and reads no clock: callers pass the time.
 package reporter
 
 import (
@@ -18,20 +19,20 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// tier is a width of buckets and the time for which they are kept.
+// tier is a bucket width and the retention period of buckets of this width.
 type tier struct {
-	width, kept time.Duration
+	width, retention time.Duration
 }
 
-// tiers are ordered by width. A window is summed in the first tier that keeps
-// enough.
+// tiers are ordered by width. A window is summed in the first tier whose retention
+// covers it.
 var tiers = [...]tier{
 	{30 * time.Second, time.Hour},
 	{5 * time.Minute, 6 * time.Hour},
 	{6 * time.Hour, MaxWindow},
 }
 
-// MaxWindow is the longest window that a report can look at.
+// MaxWindow is the longest window that a report can cover.
 const MaxWindow = 30 * 24 * time.Hour
 
 // Event is one answered job.
@@ -39,7 +40,7 @@
 	Service string
 	Outcome submitter.Outcome
 	Reason  submitter.Reason
-	// Slow says that the job was complete but later than the objective.
+	// Slow is set if the job completed, but took longer than the latency objective.
 	Slow bool
 }
 
@@ -48,22 +49,23 @@
 	services map[string]*series
 }
 
-// series is the events of one service; its tiers are those of the package.
+// series holds the event counts of one service, one list of buckets for each of the
+// package's tiers.
 type series struct {
-	tiers [len(tiers)][]Bucket // Buckets are in order of their start.
+	tiers [len(tiers)][]Bucket // Ordered by Bucket.Start.
 }
 
-// Bucket counts the events of one span of time.
+// Bucket counts the events of one time interval.
 type Bucket struct {
 	// Start is a multiple of the tier's width, as Unix time in seconds.
 	Start int64 `json:"start"`
-	// Jobs counts the events that concern the objectives.
+	// Jobs counts the events that affect the objectives.
 	Jobs uint64 `json:"jobs"`
-	// Slow counts those of Jobs that were complete but too late.
+	// Slow counts the jobs among Jobs that completed too late.
 	Slow uint64 `json:"slow,omitempty"`
-	// Excluded counts events that are the caller's doing; they are not in Jobs.
+	// Excluded counts events that the caller has caused; they are not in Jobs.
 	Excluded uint64 `json:"excluded,omitempty"`
-	// Bad counts those of Jobs that were not complete, sorted by reason.
+	// Bad counts the jobs among Jobs that did not complete, sorted by reason.
 	Bad []ReasonCount `json:"bad,omitempty"`
 }
 
@@ -73,9 +75,9 @@
 	Count  uint64           `json:"count"`
 }
 
-// excluded lists the reasons that are the caller's doing and do not use up the
-// error budget of a service.
-var excluded = []submitter.Reason{
+// excludedReasons lists the failure reasons that the caller has caused. They do not
+// use up the error budget of a service.
+var excludedReasons = []submitter.Reason{
 	submitter.ReasonCancelled,
 	submitter.ReasonNeverFits,
 	submitter.ReasonQuotaExceeded,
@@ -85,7 +87,7 @@
 	submitter.ReasonConflictingRequest,
 }
 
-// New returns a recorder without events.
+// New returns an empty recorder.
 func New() *Recorder {
 	return &Recorder{services: make(map[string]*series)}
 }
@@ -113,7 +115,7 @@
 	return out
 }
 
-// Load adds the content of a predecessor's snapshot.
+// Load adds the content of a snapshot, such as that of the entry's predecessor.
 func (r *Recorder) Load(now time.Time, s *Snapshot) {
 	for i := range s.Services {
 		row := &s.Services[i]
@@ -134,8 +136,8 @@
 	return s
 }
 
-// bucket returns the bucket of a tier that the time falls into. A time before the
-// newest bucket counts in the newest: clocks may step back.
+// bucket returns the bucket of tier i that contains the time. Since clocks may step
+// back, a time before the newest bucket counts in the newest bucket.
 func (s *series) bucket(i int, now time.Time) *Bucket {
 	start := now.Truncate(tiers[i].width).Unix()
 	list := s.tiers[i]
@@ -147,10 +149,10 @@
 	return &s.tiers[i][len(s.tiers[i])-1]
 }
 
-// prune drops the buckets that no window reaches any more.
+// prune deletes the buckets that no window overlaps any more.
 func (s *series) prune(now time.Time) {
 	for i, t := range tiers {
-		oldest := now.Add(-t.kept - t.width).Unix()
+		oldest := now.Add(-t.retention - t.width).Unix()
 		n := 0
 		for n < len(s.tiers[i]) && s.tiers[i][n].Start <= oldest {
 			n++
@@ -159,21 +161,21 @@
 	}
 }
 
-// Verdict says what an event is for an objective.
+// Verdict classifies an event with regard to an objective.
 type Verdict string
 
 // The verdicts.
 const (
 	VerdictGood     Verdict = "good"
 	VerdictBad      Verdict = "bad"
-	VerdictExcluded Verdict = "excluded" // The event does not concern the objective.
+	VerdictExcluded Verdict = "excluded" // The event does not affect the objective.
 )
 
-// Verdict returns what the event is for an objective.
+// Verdict returns the verdict on the event for an objective.
 func (e *Event) Verdict(o Objective) Verdict {
 	complete := e.Outcome == submitter.OutcomeComplete
 	switch {
-	case slices.Contains(excluded, e.Reason):
+	case slices.Contains(excludedReasons, e.Reason):
 		return VerdictExcluded
 	case o == ObjectiveLatency && !complete:
 		return VerdictExcluded
@@ -218,7 +220,7 @@
 	}
 }
 
-// failures returns the number of jobs that were not complete.
+// failures returns the number of jobs that did not complete.
 func (b *Bucket) failures() uint64 {
 	var n uint64
 	for _, c := range b.Bad {
--- a/internal/reporter/report.go
+++ b/internal/reporter/report.go
@@ -20,42 +20,43 @@
 	ObjectiveSuccess Objective = "success"
 )
 
-// Level says what the burn rates call for.
+// Level is the urgency of an operator's reaction to the burn rates.
 type Level string
 
 // The levels.
 const (
 	LevelOK     Level = "ok"
-	LevelTicket Level = "ticket" // The budget is used up in days: look within the day.
-	LevelPage   Level = "page"   // The budget is used up in hours: look now.
+	LevelTicket Level = "ticket" // The budget is used up within days: react within a day.
+	LevelPage   Level = "page"   // The budget is used up within hours: react now.
 )
 
-// ReasonSlow is the cause of what uses up the budget for latency.
+// ReasonSlow is the cause of all bad jobs of a latency objective.
 const ReasonSlow submitter.Reason = "slow"
 
-// pair is two windows of which both must burn fast: the long one says that it
-// matters, the short one that it still goes on, with as many bad jobs as the
-// objective's minimum.
-type pair struct {
+// windowPair is a pair of windows. Its level is raised if the burn rates of both
+// windows reach the threshold: the long window shows that the loss of budget is
+// significant, the short window that it is still continuing. The short window must
+// also have the objective's minimum number of bad jobs.
+type windowPair struct {
 	short, long time.Duration
 	threshold   float64
 	level       Level
 }
 
-// pairs are ordered by urgency. The thresholds use up 2% of a thirty-day budget
-// in an hour and 5% in six hours.
-var pairs = [...]pair{
+// windowPairs are ordered by urgency. At the thresholds, a service uses up 2% of a
+// thirty-day budget in one hour and 5% in six hours.
+var windowPairs = [...]windowPair{
 	{5 * time.Minute, time.Hour, 14.4, LevelPage},
 	{30 * time.Minute, 6 * time.Hour, 6, LevelTicket},
 }
 
-// Report is the state of every objective, the fastest burner first.
+// Report is the state of every objective, ordered by burn rate, highest first.
 type Report struct {
 	Made time.Time `json:"made"`
-	// Window is the span over which budgets and causes are counted.
+	// Window is the period over which budgets and causes are counted.
 	Window     submitter.Duration `json:"window"`
 	Objectives []Burn             `json:"objectives"`
-	// Missing lists what the counts lack; empty if they are whole.
+	// Missing lists the counts that are missing; empty if the report is complete.
 	Missing []Missing `json:"missing,omitempty"`
 }
 
@@ -65,47 +66,49 @@
 	Objective Objective `json:"objective"`
 	// Target is the share of jobs that must be good.
 	Target float64 `json:"target"`
-	// Latency is the response time that counts as good, for latency only.
+	// Latency is the longest response time that counts as good. It is set for the
+	// latency objective only.
 	Latency submitter.Duration `json:"latency,omitzero"`
-	// Jobs and Bad count the jobs within the report's window; Excluded counts
-	// those that are the caller's doing and are in neither.
+	// Jobs and Bad count the jobs within the report's window. Excluded counts the jobs
+	// whose outcome the caller has caused; they are neither in Jobs nor in Bad.
 	Jobs     uint64 `json:"jobs"`
 	Bad      uint64 `json:"bad"`
 	Excluded uint64 `json:"excluded"`
-	// BudgetLeft is the share of the error budget that is left, from 1 downwards;
-	// negative once it is overdrawn.
+	// BudgetLeft is the remaining share of the error budget, at most 1; it is negative
+	// once the budget is overdrawn.
 	BudgetLeft float64 `json:"budget-left"`
-	// MinBadJobs is how many bad jobs the short window of a pair must have before
-	// the pair raises the level.
+	// MinBadJobs is the number of bad jobs that the short window of a pair must have
+	// before the pair raises the level.
 	MinBadJobs int `json:"min-bad-jobs"`
-	// Rates has the burn rate of each window, the shortest first. At a rate of 1
-	// the budget lasts just as long as its window.
+	// Rates has the burn rate of each window, shortest window first. At a rate of 1
+	// the budget lasts exactly as long as its window.
 	Rates []Rate `json:"rates"`
-	// Fastest is the greatest rate at which both windows of a pair burn.
+	// Fastest is the highest burn rate that both windows of some pair reach.
 	Fastest float64 `json:"fastest"`
 	Level   Level   `json:"level"`
-	// Causes has what used up the budget within the window, the greatest first.
+	// Causes counts the bad jobs within the report's window by reason, largest count
+	// first.
 	Causes []ReasonCount `json:"causes,omitempty"`
 }
 
 // Rate is the burn rate of one window.
 type Rate struct {
 	Window submitter.Duration `json:"window"`
-	Bad    uint64             `json:"bad"` // Bad counts the bad jobs within the window.
+	Bad    uint64             `json:"bad"` // Number of bad jobs within the window.
 	Burn   float64            `json:"burn"`
 }
 
-// Missing is something that a report lacks.
+// Missing describes counts that are missing from a report.
 type Missing struct {
-	// Entry is the entry or the place whose counts are not whole.
+	// Entry is the entry whose counts are incomplete, or a description of several.
 	Entry string `json:"entry"`
-	// Age is how old the counts in use are; absent if there are none.
+	// Age is the age of the counts in use; absent if there are none.
 	Age    submitter.Duration `json:"age,omitzero"`
 	Detail string             `json:"detail"`
 }
 
-// Make reports on the objectives of the services. Services that had no jobs are
-// included. A window longer than [MaxWindow] is cut to it.
+// NewReport returns a report on the objectives of the services, including services
+// that had no jobs. A window longer than [MaxWindow] is shortened to it.
 func NewReport(now time.Time, window time.Duration, services []configurer.Service, counts *Snapshot) *Report {
 	window = min(window, MaxWindow)
 	r := &Report{Made: now, Window: submitter.Duration(window)}
@@ -114,7 +117,7 @@
 		c := counts.service(s.Name)
 		for _, o := range Objectives() {
 			if Target(s, o) > 0 {
-				r.Objectives = append(r.Objectives, burn(now, window, s, o, c))
+				r.Objectives = append(r.Objectives, newBurn(now, window, s, o, c))
 			}
 		}
 	}
@@ -137,9 +140,9 @@
 	return &ServiceCounts{Service: name}
 }
 
-func burn(now time.Time, window time.Duration, s *configurer.Service, o Objective, c *ServiceCounts) Burn {
+func newBurn(now time.Time, window time.Duration, s *configurer.Service, o Objective, c *ServiceCounts) Burn {
 	sum := c.window(now, window)
-	jobs, bad := outcome(o, &sum)
+	jobs, bad := objectiveCounts(o, &sum)
 	out := Burn{
 		Service:    s.Name,
 		Objective:  o,
@@ -147,7 +150,7 @@
 		Jobs:       jobs,
 		Bad:        bad,
 		Excluded:   sum.Excluded,
-		BudgetLeft: 1 - rate(s, o, &sum),
+		BudgetLeft: 1 - burnRate(s, o, &sum),
 		MinBadJobs: s.Objective.MinBadJobs,
 		Level:      LevelOK,
 		Causes:     causes(o, &sum),
@@ -155,34 +158,35 @@
 	if o == ObjectiveLatency {
 		out.Latency = submitter.Duration(s.Objective.Latency)
 	}
-	for _, p := range pairs {
-		out.addPair(now, p, s, c)
+	for _, p := range windowPairs {
+		out.addWindowPair(now, p, s, c)
 	}
 	slices.SortFunc(out.Rates, func(a, b Rate) int { return cmp.Compare(a.Window, b.Window) })
 	return out
 }
 
-func (b *Burn) addPair(now time.Time, p pair, s *configurer.Service, c *ServiceCounts) {
+func (b *Burn) addWindowPair(now time.Time, p windowPair, s *configurer.Service, c *ServiceCounts) {
 	short, long := windowRate(now, p.short, s, b.Objective, c), windowRate(now, p.long, s, b.Objective, c)
 	b.Rates = append(b.Rates, short, long)
 	both := min(short.Burn, long.Burn)
 	b.Fastest = max(b.Fastest, both)
-	enough := short.Bad >= uint64(b.MinBadJobs)
-	if both >= p.threshold && enough && b.Level == LevelOK {
+	enoughBad := short.Bad >= uint64(b.MinBadJobs)
+	if both >= p.threshold && enoughBad && b.Level == LevelOK {
 		b.Level = p.level
 	}
 }
 
 func windowRate(now time.Time, window time.Duration, s *configurer.Service, o Objective, c *ServiceCounts) Rate {
 	sum := c.window(now, window)
-	_, bad := outcome(o, &sum)
-	return Rate{Window: submitter.Duration(window), Bad: bad, Burn: rate(s, o, &sum)}
+	_, bad := objectiveCounts(o, &sum)
+	return Rate{Window: submitter.Duration(window), Bad: bad, Burn: burnRate(s, o, &sum)}
 }
 
 // Objectives returns the objectives that each service may have.
 func Objectives() []Objective { return []Objective{ObjectiveLatency, ObjectiveSuccess} }
 
-// Target returns the share that must be good; 0 means that there is no objective.
+// Target returns the share of jobs that must be good, or 0 if the service does not
+// have the objective.
 func Target(s *configurer.Service, o Objective) float64 {
 	if o == ObjectiveLatency {
 		return s.Objective.LatencyRatio
@@ -190,26 +194,29 @@
 	return s.Objective.SuccessRatio
 }
 
-// outcome returns the jobs that count for an objective and the bad ones of them.
-func outcome(o Objective, b *Bucket) (jobs, bad uint64) {
+// objectiveCounts returns the number of jobs that count for an objective, and how many
+// of them are bad.
+func objectiveCounts(o Objective, b *Bucket) (jobs, bad uint64) {
 	if o == ObjectiveLatency {
 		return b.Jobs - b.failures(), b.Slow
 	}
 	return b.Jobs, b.failures()
 }
 
-// rate returns the share of bad jobs in units of the share that is allowed.
-func rate(s *configurer.Service, o Objective, b *Bucket) float64 {
-	jobs, bad := outcome(o, b)
+// burnRate returns the share of bad jobs divided by the share that the objective
+// allows.
+func burnRate(s *configurer.Service, o Objective, b *Bucket) float64 {
+	jobs, bad := objectiveCounts(o, b)
 	if jobs == 0 || bad == 0 {
 		return 0
 	}
-	allowed := max(1-Target(s, o), smallestBudget)
+	allowed := max(1-Target(s, o), minBudget)
 	return float64(bad) / float64(jobs) / allowed
 }
 
-// smallestBudget keeps the rate of an objective without any budget finite.
-const smallestBudget = 1e-6
+// minBudget is the lower bound of the allowed share of bad jobs. It keeps the burn rate
+// finite for a target of 1.
+const minBudget = 1e-6
 
 func causes(o Objective, b *Bucket) []ReasonCount {
 	if o == ObjectiveLatency {
--- a/internal/reporter/reporter_test.go
+++ b/internal/reporter/reporter_test.go
@@ -33,8 +33,8 @@
 	scripter.Run(t, "testdata/*.txtar", runScript)
 }
 
-// bench has the recorders of several entries and what each has stored.
-type bench struct {
+// fixture has the recorders of several entries and the latest stored snapshot of each.
+type fixture struct {
 	t         *testing.T
 	now       time.Time
 	recorders map[string]*Recorder
@@ -43,39 +43,39 @@
 }
 
 func runScript(t *testing.T, lines []scripter.Line) string {
-	b := &bench{t: t, now: testStart, recorders: make(map[string]*Recorder), stored: make(map[string][]byte)}
+	f := &fixture{t: t, now: testStart, recorders: make(map[string]*Recorder), stored: make(map[string][]byte)}
 	for _, l := range lines {
-		b.apply(l)
+		f.apply(l)
 	}
-	return b.out.String()
+	return f.out.String()
 }
 
-func (b *bench) apply(l scripter.Line) {
+func (f *fixture) apply(l scripter.Line) {
 	switch l.Verb {
 	case "jobs":
-		b.jobs(l)
+		f.jobs(l)
 	case "wait":
-		b.now = b.now.Add(b.duration(l, l.Args[0]))
+		f.now = f.now.Add(f.duration(l, l.Args[0]))
 	case "store":
-		b.store(l.Args[0])
+		f.store(l.Args[0])
 	case "replace":
-		b.replace(l.Args[0])
+		f.restart(l.Args[0])
 	case "report":
-		b.report(l)
+		f.report(l)
 	default:
-		b.t.Fatalf("%s: unknown verb", l)
+		f.t.Fatalf("%s: unknown verb", l)
 	}
 }
 
 // jobs records jobs at an entry, spread evenly over a span of time.
-func (b *bench) jobs(l scripter.Line) {
+func (f *fixture) jobs(l scripter.Line) {
 	count, err := strconv.Atoi(l.Arg("count"))
 	if err != nil {
-		b.t.Fatalf("%s: %v", l, err)
+		f.t.Fatalf("%s: %v", l, err)
 	}
 	var step time.Duration
 	if over := l.Arg("over"); over != "" {
-		step = b.duration(l, over) / time.Duration(count)
+		step = f.duration(l, over) / time.Duration(count)
 	}
 	event := Event{
 		Service: l.Arg("service"),
@@ -87,75 +87,75 @@
 		event.Outcome = submitter.OutcomeFailed
 	}
 	for range count {
-		b.recorder(l.Arg("at")).Record(b.now, event)
-		b.now = b.now.Add(step)
+		f.recorder(l.Arg("at")).Record(f.now, event)
+		f.now = f.now.Add(step)
 	}
 }
 
-func (b *bench) recorder(entry string) *Recorder {
-	if b.recorders[entry] == nil {
-		b.recorders[entry] = New()
+func (f *fixture) recorder(entry string) *Recorder {
+	if f.recorders[entry] == nil {
+		f.recorders[entry] = New()
 	}
-	return b.recorders[entry]
+	return f.recorders[entry]
 }
 
-func (b *bench) store(entry string) {
-	text, err := b.recorder(entry).Snapshot(b.now).Encode()
+func (f *fixture) store(entry string) {
+	text, err := f.recorder(entry).Snapshot(f.now).Encode()
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	b.stored[entry] = text
+	f.stored[entry] = text
 }
 
-// replace begins an entry anew from what was stored of it.
-func (b *bench) replace(entry string) {
-	b.recorders[entry] = New()
-	if b.stored[entry] == nil {
+// restart replaces an entry's recorder by a new one that loads the stored snapshot.
+func (f *fixture) restart(entry string) {
+	f.recorders[entry] = New()
+	if f.stored[entry] == nil {
 		return
 	}
-	s, err := Decode(b.stored[entry])
+	s, err := Decode(f.stored[entry])
 	if err != nil {
-		b.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	b.recorders[entry].Load(b.now, s)
+	f.recorders[entry].Load(f.now, s)
 }
 
-func (b *bench) report(l scripter.Line) {
+func (f *fixture) report(l scripter.Line) {
 	window := MaxWindow
 	if text := l.Arg("window"); text != "" {
-		window = b.duration(l, text)
+		window = f.duration(l, text)
 	}
 	var all []*Snapshot
 	for _, entry := range []string{"e1", "e2", "e3"} {
-		if r := b.recorders[entry]; r != nil {
-			all = append(all, r.Snapshot(b.now))
+		if r := f.recorders[entry]; r != nil {
+			all = append(all, r.Snapshot(f.now))
 		}
 	}
-	r := NewReport(b.now, window, testServices, Sum(all))
-	fmt.Fprintf(&b.out, "after %s, over %s\n", b.now.Sub(testStart), window)
+	r := NewReport(f.now, window, testServices, Sum(all))
+	fmt.Fprintf(&f.out, "after %s, over %s\n", f.now.Sub(testStart), window)
 	for i := range r.Objectives {
 		o := &r.Objectives[i]
-		fmt.Fprintf(&b.out, "  %s %s %s: left %.3f, jobs %d, bad %d, excluded %d, burn", o.Service, o.Objective, o.Level, o.BudgetLeft, o.Jobs, o.Bad, o.Excluded)
+		fmt.Fprintf(&f.out, "  %s %s %s: left %.3f, jobs %d, bad %d, excluded %d, burn", o.Service, o.Objective, o.Level, o.BudgetLeft, o.Jobs, o.Bad, o.Excluded)
 		for _, rate := range o.Rates {
-			fmt.Fprintf(&b.out, " %s=%.2f", time.Duration(rate.Window), rate.Burn)
+			fmt.Fprintf(&f.out, " %s=%.2f", time.Duration(rate.Window), rate.Burn)
 		}
 		for _, c := range o.Causes {
-			fmt.Fprintf(&b.out, " %s:%d", c.Reason, c.Count)
+			fmt.Fprintf(&f.out, " %s:%d", c.Reason, c.Count)
 		}
-		fmt.Fprintln(&b.out)
+		fmt.Fprintln(&f.out)
 	}
 }
 
-func (b *bench) duration(l scripter.Line, text string) time.Duration {
+func (f *fixture) duration(l scripter.Line, text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		b.t.Fatalf("%s: %v", l, err)
+		f.t.Fatalf("%s: %v", l, err)
 	}
 	return d
 }
 
-// TestSumIsOneRecorder checks that the sum of several recorders is what one
-// recorder of all events would have, whatever entry each event reached.
+// TestSumIsOneRecorder checks that the sum of several recorders equals the content of
+// one recorder of all events, however the events were distributed.
 func TestSumIsOneRecorder(t *testing.T) {
 	reasons := []submitter.Reason{"", submitter.ReasonTaskFailed, submitter.ReasonOverloaded, submitter.ReasonCancelled}
 	rapid.Check(t, func(t *rapid.T) {
@@ -185,8 +185,8 @@
 	})
 }
 
-// TestMemoryIsBounded checks that a recorder keeps no more buckets after a year
-// than the windows need.
+// TestMemoryIsBounded checks that a recorder has only the buckets that the windows need
+// after a year of events.
 func TestMemoryIsBounded(t *testing.T) {
 	r := New()
 	now := testStart
@@ -198,15 +198,15 @@
 	for _, buckets := range r.Snapshot(now).Services[0].Tiers {
 		got = append(got, len(buckets))
 	}
-	// A window overlaps one bucket more than its length divided by their width. A
-	// job a minute fills every second bucket of the narrowest tier.
+	// A window overlaps one bucket more than its length divided by the bucket width.
+	// One job a minute fills only every second bucket of the narrowest tier.
 	if diff := cmp.Diff([]int{61, 73, 121}, got); diff != "" {
 		t.Errorf("buckets (-want +got):\n%s", diff)
 	}
 }
 
-// TestPage checks that the page has every objective, what is missing, and no
-// text of a service as markup.
+// TestPage checks that the page shows every objective and the missing counts, and that
+// it escapes the names of services.
 func TestPage(t *testing.T) {
 	r := New()
 	r.Record(testStart, Event{Service: "<b>", Outcome: submitter.OutcomeFailed, Reason: submitter.ReasonTaskFailed})
@@ -228,8 +228,8 @@
 	}
 }
 
-// TestPlotOfOneStep checks that an objective whose jobs all fall into one step is
-// drawn: a line needs two points to be seen.
+// TestPlotOfOneStep checks that the plot shows an objective whose jobs all fall into
+// one step: a line alone would be invisible, since it needs two points.
 func TestPlotOfOneStep(t *testing.T) {
 	r := New()
 	r.Record(testStart, Event{Service: "quote", Outcome: submitter.OutcomeFailed, Reason: submitter.ReasonTaskFailed})
@@ -244,7 +244,7 @@
 	}
 }
 
-// TestReportNames pins the keys of the JSON form.
+// TestReportNames fixes the keys of the JSON form, which clients read.
 func TestReportNames(t *testing.T) {
 	r := New()
 	r.Record(testStart, Event{Service: "quote", Outcome: submitter.OutcomeComplete, Slow: true})
--- a/internal/reporter/snapshot.go
+++ b/internal/reporter/snapshot.go
@@ -10,17 +10,18 @@
 	"time"
 )
 
-// maxSnapshotBytes bounds a snapshot after it is uncompressed.
+// maxSnapshotBytes bounds the size of a decompressed snapshot.
 const maxSnapshotBytes = 64 << 20
 
 // Snapshot is the content of one recorder, or the sum of several.
 type Snapshot struct {
-	// Instance names the place of an entry, which its successor takes over.
+	// Instance is the instance name of the entry, which the entry's successor takes
+	// over.
 	Instance string `json:"instance"`
-	// Peer names the run of the entry.
+	// Peer is the peer name of the entry, which differs for each run.
 	Peer  string    `json:"peer"`
 	Taken time.Time `json:"taken"`
-	// Incomplete says what the counts lack; empty if they are whole.
+	// Incomplete describes the counts that are missing; empty if there are none.
 	Incomplete string `json:"incomplete,omitempty"`
 	// Services are sorted by name.
 	Services []ServiceCounts `json:"services"`
@@ -33,7 +34,7 @@
 	Tiers [][]Bucket `json:"tiers"`
 }
 
-// Encode returns the compressed form of a snapshot.
+// Encode returns the snapshot as compressed JSON.
 func (s *Snapshot) Encode() ([]byte, error) {
 	var buf bytes.Buffer
 	w := gzip.NewWriter(&buf)
@@ -46,8 +47,8 @@
 	return buf.Bytes(), nil
 }
 
-// Decode reads the compressed form of a snapshot. It returns an error of kind
-// [KindDecode] if the text is none.
+// Decode decodes a snapshot that [Snapshot.Encode] has encoded. It returns an error of
+// kind [KindDecode] if the text is not such a snapshot.
 func Decode(text []byte) (*Snapshot, error) {
 	r, err := gzip.NewReader(bytes.NewReader(text))
 	if err != nil {
@@ -60,7 +61,7 @@
 	return s, nil
 }
 
-// Sum adds up snapshots.
+// Sum returns the sum of snapshots. Its time is that of the latest one.
 func Sum(snapshots []*Snapshot) *Snapshot {
 	r := New()
 	var taken time.Time
@@ -79,7 +80,7 @@
 func (c *ServiceCounts) window(now time.Time, length time.Duration) Bucket {
 	var sum Bucket
 	for i, t := range tiers {
-		if length > t.kept || i >= len(c.Tiers) {
+		if length > t.retention || i >= len(c.Tiers) {
 			continue
 		}
 		from := now.Add(-length)
@@ -94,7 +95,8 @@
 	return sum
 }
 
-// mergeBuckets returns the buckets of both lists in order of their start.
+// mergeBuckets merges two lists of buckets in order of their start and adds buckets
+// that have the same start.
 func mergeBuckets(a, b []Bucket) []Bucket {
 	out := make([]Bucket, 0, len(a)+len(b))
 	for len(a) > 0 || len(b) > 0 {
