--- a/internal/meter/bench_test.go
+++ b/internal/meter/bench_test.go
@@ -7,7 +7,7 @@
 	"sardinelock.dev/sardinelock/internal/connector"
 )
 
-func newBenchMeter(tb testing.TB) *Meter {
+func newTestMeter(tb testing.TB) *Meter {
 	m, err := New(Identity{}, Sources{
 		Traffic: new(connector.Counts),
 		Busy:    func() (time.Duration, uint64) { return 0, 0 },
@@ -18,8 +18,8 @@
 	return m
 }
 
-// measureJob makes every measurement of one job.
-func measureJob(m *Meter) {
+// recordJob records all measurements of one job.
+func recordJob(m *Meter) {
 	m.Started("quote", 20*time.Millisecond)
 	m.Answered("quote", "complete", "", time.Second)
 	m.Judged("quote", "success", "good")
@@ -27,20 +27,20 @@
 	m.Request("POST", "/v1/services/{service}/jobs", 200, time.Second)
 }
 
-// TestMeasuringAllocatesNothing checks that a job whose series are known costs no
-// memory.
+// TestMeasuringAllocatesNothing checks that recording a job allocates no memory once
+// the options of its series are cached.
 func TestMeasuringAllocatesNothing(t *testing.T) {
-	m := newBenchMeter(t)
-	measureJob(m)
-	if n := testing.AllocsPerRun(100, func() { measureJob(m) }); n > 0 {
+	m := newTestMeter(t)
+	recordJob(m)
+	if n := testing.AllocsPerRun(100, func() { recordJob(m) }); n > 0 {
 		t.Errorf("the measurements of a job make %v allocations", n)
 	}
 }
 
 func BenchmarkJob(b *testing.B) {
-	m := newBenchMeter(b)
+	m := newTestMeter(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		measureJob(m)
+		recordJob(m)
 	}
 }
--- a/internal/meter/error.go
+++ b/internal/meter/error.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind says what went wrong with a meter.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of errors of this package.
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,10 +1,11 @@
-// Package meter measures a process with OpenTelemetry and serves the values in
-// Prometheus' text format.
+// Package meter records metrics of a process with OpenTelemetry and serves them in
+// the Prometheus text format.
 //
-// What happens once a job is recorded as it happens ([Meter.Answered],
-// [Meter.Started], [Meter.Request]). Everything that happens more often is
-// counted in atomics by the part that does it, and read at each collection from
-// the functions of [Sources]; a collection costs the traffic nothing.
+// Events that occur about once per job are recorded as they occur
+// ([Meter.Answered], [Meter.Started], [Meter.Request]). More frequent events are
+// counted in atomics by the component in which they occur. Each collection reads
+// these counts through the functions of [Sources], so that the traffic does not pay
+// for it.
 package meter
 
 import (
@@ -22,10 +23,10 @@
 	"go.opentelemetry.io/otel/sdk/resource"
 )
 
-// scope names the instrumentation in exported metrics.
-const scope = "sardinelock.dev/sardinelock"
+// instrumentationScope is the OpenTelemetry instrumentation scope of all metrics.
+const instrumentationScope = "sardinelock.dev/sardinelock"
 
-// durationBounds are the boundaries of the histograms of times, in seconds.
+// durationBounds are the bucket boundaries of all duration histograms, in seconds.
 var durationBounds = []float64{
 	0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10, 30,
 }
@@ -35,22 +36,22 @@
 	provider *sdk.MeterProvider
 	handler  http.Handler
 
-	requests metric.Float64Histogram
-	jobs     metric.Float64Histogram
-	queue    metric.Float64Histogram
-	answers  metric.Int64Counter
-	verdicts metric.Int64Counter
-	store    metric.Int64Counter
-
-	answerSeries  series[answerKey]
-	jobSeries     series[answerKey]
-	verdictSeries series[verdictKey]
-	queueSeries   series[string]
-	requestSeries series[requestKey]
-	storeSeries   series[storeKey]
+	requestDurations metric.Float64Histogram
+	jobDurations     metric.Float64Histogram
+	queueTimes       metric.Float64Histogram
+	answers          metric.Int64Counter
+	verdicts         metric.Int64Counter
+	storeCalls       metric.Int64Counter
+
+	answerOptions  optionCache[answerKey]
+	jobOptions     optionCache[answerKey]
+	verdictOptions optionCache[verdictKey]
+	queueOptions   optionCache[string]
+	requestOptions optionCache[requestKey]
+	storeOptions   optionCache[storeKey]
 }
 
-// Identity names the process in its metrics.
+// Identity identifies the process in its metrics.
 type Identity struct {
 	Role       string
 	Peer       string
@@ -58,8 +59,9 @@
 	DataCentre string
 }
 
-// New returns a meter that reads the sources at each collection. It returns an
-// error of kind [KindInstrument] if an instrument cannot be made.
+// New returns a meter that reads the sources at each collection. It returns an error
+// of kind [KindExporter] or [KindInstrument] if the exporter or an instrument cannot
+// be created.
 func New(id Identity, s Sources) (*Meter, error) {
 	registry := prometheus.NewRegistry()
 	exporter, err := otelprometheus.New(
@@ -88,10 +90,10 @@
 	)
 }
 
-// Handler serves the values of all instruments.
+// Handler returns a handler that serves the values of all instruments.
 func (m *Meter) Handler() http.Handler { return m.handler }
 
-// Close releases what the meter holds.
+// Close shuts down the meter's provider and exporter.
 func (m *Meter) Close(ctx context.Context) error {
 	if err := m.provider.Shutdown(ctx); err != nil {
 		return &Error{Op: "close", Kind: KindExporter, Err: err}
@@ -103,24 +105,24 @@
 func (m *Meter) Answered(service, outcome, reason string, took time.Duration) {
 	ctx := context.Background()
 	key := answerKey{service, outcome, reason}
-	m.answers.Add(ctx, 1, m.answerSeries.get(key, answerKey.attributes).add...)
+	m.answers.Add(ctx, 1, m.answerOptions.get(key, answerKey.attributes).add...)
 	key.reason = ""
-	m.jobs.Record(ctx, took.Seconds(), m.jobSeries.get(key, answerKey.jobAttributes).record...)
+	m.jobDurations.Record(ctx, took.Seconds(), m.jobOptions.get(key, answerKey.jobAttributes).record...)
 }
 
-// Judged records what an answer is for one objective of its service.
+// Judged records the verdict on an answer for one objective of its service.
 func (m *Meter) Judged(service, objective, verdict string) {
 	key := verdictKey{service, objective, verdict}
-	m.verdicts.Add(context.Background(), 1, m.verdictSeries.get(key, verdictKey.attributes).add...)
+	m.verdicts.Add(context.Background(), 1, m.verdictOptions.get(key, verdictKey.attributes).add...)
 }
 
-// Started records how long a job waited until its first task was sent.
+// Started records the time that a job waited before its first task was sent.
 func (m *Meter) Started(service string, waited time.Duration) {
-	m.queue.Record(context.Background(), waited.Seconds(), m.queueSeries.get(service, serviceAttributes).record...)
+	m.queueTimes.Record(context.Background(), waited.Seconds(), m.queueOptions.get(service, serviceAttributes).record...)
 }
 
-// knownMethods are the HTTP methods that are told apart. Any other counts as
-// otherMethod, so that clients cannot make new series.
+// knownMethods are the HTTP methods with a series of their own. Any other method
+// counts as otherMethod, so that clients cannot create new series.
 var knownMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch,
 	http.MethodDelete, http.MethodConnect, http.MethodOptions, http.MethodTrace,
@@ -134,25 +136,25 @@
 		method = otherMethod
 	}
 	key := requestKey{method, route, status}
-	m.requests.Record(context.Background(), took.Seconds(), m.requestSeries.get(key, requestKey.attributes).record...)
+	m.requestDurations.Record(context.Background(), took.Seconds(), m.requestOptions.get(key, requestKey.attributes).record...)
 }
 
-// StoreCall records one try of a call of the platform. The kind of error is empty
-// if the call went well.
+// StoreCall records one attempt of a call to the platform. errorKind is empty if the
+// attempt succeeded.
 func (m *Meter) StoreCall(operation, errorKind string) {
 	key := storeKey{operation, errorKind}
-	m.store.Add(context.Background(), 1, m.storeSeries.get(key, storeKey.attributes).add...)
+	m.storeCalls.Add(context.Background(), 1, m.storeOptions.get(key, storeKey.attributes).add...)
 }
 
 func (m *Meter) register(s Sources) error {
-	r := &registrar{meter: m.provider.Meter(scope)}
+	r := &instrumentBuilder{meter: m.provider.Meter(instrumentationScope)}
 	bounds := metric.WithExplicitBucketBoundaries(durationBounds...)
-	m.requests = r.histogram("http.server.request.duration", "Duration of HTTP server requests.", bounds)
-	m.jobs = r.histogram("sardinelock.job.duration", "Time from the arrival of a job to its answer.", bounds)
-	m.queue = r.histogram("sardinelock.job.queue-time", "Time from the arrival of a job at its owner to its first start.", bounds)
+	m.requestDurations = r.histogram("http.server.request.duration", "Duration of HTTP server requests.", bounds)
+	m.jobDurations = r.histogram("sardinelock.job.duration", "Time from the arrival of a job to its answer.", bounds)
+	m.queueTimes = r.histogram("sardinelock.job.queue-time", "Time from the arrival of a job at its owner to its first start.", bounds)
 	m.answers = r.counter("sardinelock.job.answers", "Answers by kind and reason.")
 	m.verdicts = r.counter("sardinelock.objective.events", "Answers by what they are for each objective of their service.")
-	m.store = r.counter("sardinelock.store.calls", "Tries of calls of the platform's services.")
+	m.storeCalls = r.counter("sardinelock.store.calls", "Tries of calls of the platform's services.")
 	r.observe(s)
 	return r.err
 }
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -14,7 +14,7 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// scrape returns the samples that have one of the prefixes, sorted.
+// scrape returns the sample lines that begin with one of the prefixes, sorted.
 func scrape(t *testing.T, m *Meter, prefixes ...string) []string {
 	t.Helper()
 	w := httptest.NewRecorder()
@@ -29,11 +29,12 @@
 	return out
 }
 
-// TestEntryMetrics checks names, labels and values as a scraper sees them.
+// TestEntryMetrics checks the names, labels and values of an entry's samples as a
+// scraper receives them.
 func TestEntryMetrics(t *testing.T) {
 	counts := new(connector.Counts)
 	counts.BytesSent.Store(1000)
-	counts.SentKinds[0].Messages.Store(3) // Starts carry work.
+	counts.SentKinds[0].Messages.Store(3) // The kind at index 0 is a start, which carries work.
 	counts.SentKinds[0].Bytes.Store(900)
 	counts.SentKinds[len(messenger.MessageKinds)-1].Bytes.Store(100)
 	m, err := New(Identity{Role: "entry", Peer: "entry-0"}, Sources{
@@ -97,7 +98,7 @@
 	}
 }
 
-// TestAgentMetrics checks the samples of an agent.
+// TestAgentMetrics checks the names, labels and values of an agent's samples.
 func TestAgentMetrics(t *testing.T) {
 	m, err := New(Identity{Role: "agent", Peer: "agent-0"}, Sources{
 		Traffic: new(connector.Counts),
--- a/internal/meter/options.go
+++ b/internal/meter/options.go
@@ -7,36 +7,38 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// series has the options of measurements that were made before, so that a
-// measurement need not build its attributes anew. Keys must be bounded: services,
-// outcomes, routes and the like.
-type series[K comparable] struct {
-	mu    sync.RWMutex
-	known map[K]measurement
+// optionCache caches the options with the attributes of each series, so that a
+// measurement need not build them again. Nothing is evicted, so the set of keys must
+// be bounded: services, outcomes, routes and the like.
+type optionCache[K comparable] struct {
+	mu     sync.RWMutex
+	cached map[K]seriesOptions
 }
 
-// measurement has the options of one series in the forms that instruments take.
-type measurement struct {
+// seriesOptions has the options of one series as the two option types that instruments
+// accept.
+type seriesOptions struct {
 	record []metric.RecordOption
 	add    []metric.AddOption
 }
 
-// get returns the options of a key, whose attributes are made the first time.
-func (s *series[K]) get(key K, attributes func(K) []attribute.KeyValue) measurement {
+// get returns the options of a key. It builds the attributes at the first call for the
+// key.
+func (s *optionCache[K]) get(key K, attributes func(K) []attribute.KeyValue) seriesOptions {
 	s.mu.RLock()
-	m, ok := s.known[key]
+	m, ok := s.cached[key]
 	s.mu.RUnlock()
 	if ok {
 		return m
 	}
 	option := metric.WithAttributeSet(attribute.NewSet(attributes(key)...))
-	m = measurement{record: []metric.RecordOption{option}, add: []metric.AddOption{option}}
+	m = seriesOptions{record: []metric.RecordOption{option}, add: []metric.AddOption{option}}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.known == nil {
-		s.known = make(map[K]measurement)
+	if s.cached == nil {
+		s.cached = make(map[K]seriesOptions)
 	}
-	s.known[key] = m
+	s.cached[key] = m
 	return m
 }
 
@@ -59,7 +61,7 @@
 	}
 }
 
-// jobAttributes leaves out the reason, which would multiply the histograms.
+// jobAttributes omits the reason, which would multiply the number of histograms.
 func (k answerKey) jobAttributes() []attribute.KeyValue { return k.attributes()[:2] }
 
 func (k verdictKey) attributes() []attribute.KeyValue {
--- a/internal/meter/process.go
+++ b/internal/meter/process.go
@@ -11,8 +11,9 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// observeProcess reports processor time and memory by the semantic conventions.
-func (r *registrar) observeProcess() {
+// observeProcess reports CPU time and memory, with names from the OpenTelemetry
+// semantic conventions.
+func (r *instrumentBuilder) observeProcess() {
 	cpu := r.total("process.cpu.time", "s", "Processor time of the process by mode.")
 	memory := r.gauge("process.memory.usage", "By", "Physical memory in use by the process.")
 	r.callback(func(_ context.Context, o metric.Observer) error {
@@ -27,7 +28,8 @@
 	}, cpu, memory)
 }
 
-// residentBytes returns the resident memory, or 0 where the system does not tell.
+// residentBytes returns the size of the resident memory, or 0 if the system does not
+// provide it in /proc.
 func residentBytes() int64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/internal/meter/roles.go
+++ b/internal/meter/roles.go
@@ -10,7 +10,7 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-func (r *registrar) observeEntry(state func() EntryState) {
+func (r *instrumentBuilder) observeEntry(state func() EntryState) {
 	jobs := r.gauge("sardinelock.jobs", "{job}", "Jobs at their owner by state.")
 	queued := r.gauge("sardinelock.tasks.queued", "{task}", "Tasks that wait for a place.")
 	upstreams := r.gauge("sardinelock.upstreams", "{upstream}", "Upstreams known by state.")
@@ -28,9 +28,9 @@
 	r.callback(func(_ context.Context, o metric.Observer) error {
 		s := state()
 		for _, v := range s.Objectives {
-			which := metric.WithAttributes(attribute.String("service", v.Service), attribute.String("objective", v.Objective))
-			o.ObserveFloat64(budget, v.Budget, which)
-			o.ObserveFloat64(minBad, float64(v.MinBadJobs), which)
+			labels := metric.WithAttributes(attribute.String("service", v.Service), attribute.String("objective", v.Objective))
+			o.ObserveFloat64(budget, v.Budget, labels)
+			o.ObserveFloat64(minBad, float64(v.MinBadJobs), labels)
 		}
 		o.ObserveFloat64(jobs, float64(s.OpenJobs), label("state", "open"))
 		o.ObserveFloat64(jobs, float64(s.KeptJobs-s.OpenJobs), label("state", "answered"))
@@ -51,12 +51,12 @@
 			o.ObserveFloat64(age, s.ConfigAge.Seconds())
 		}
 		observeStates(o, configs, "state", s.ConfigStates)
-		o.ObserveFloat64(draining, float64(oneIf(s.Draining)))
+		o.ObserveFloat64(draining, float64(boolToInt(s.Draining)))
 		return nil
 	}, jobs, queued, upstreams, credits, ejections, owned, epochs, peers, version, age, configs, draining, budget, minBad)
 }
 
-func (r *registrar) observeAgent(state func() AgentState) {
+func (r *instrumentBuilder) observeAgent(state func() AgentState) {
 	tasks := r.gauge("sardinelock.agent.tasks", "{task}", "Tasks at the agent by state.")
 	slots := r.gauge("sardinelock.agent.slots", "{slot}", "Slots that the upstream announced.")
 	records := r.gauge("sardinelock.agent.records", "{record}", "Submissions of which a task started within the window.")
@@ -74,12 +74,12 @@
 		for _, u := range []messenger.UpstreamState{
 			messenger.UpstreamAbsent, messenger.UpstreamServing, messenger.UpstreamLeaving,
 		} {
-			o.ObserveFloat64(serving, float64(oneIf(s.State == u)), label("state", string(u)))
+			o.ObserveFloat64(serving, float64(boolToInt(s.State == u)), label("state", string(u)))
 		}
 		o.ObserveFloat64(epoch, float64(s.HighestEpoch))
 		o.ObserveFloat64(entries, float64(s.Entries), label("role", string(messenger.RoleEntry)))
 		o.ObserveFloat64(version, float64(s.ConfigVersion))
-		o.ObserveFloat64(current, float64(oneIf(s.ConfigCurrent)))
+		o.ObserveFloat64(current, float64(boolToInt(s.ConfigCurrent)))
 		return nil
 	}, tasks, slots, records, serving, epoch, entries, version, current)
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-func oneIf(v bool) int {
+func boolToInt(v bool) int {
 	if v {
 		return 1
 	}
