--- a/internal/authenticator/authenticator.go
+++ b/internal/authenticator/authenticator.go
@@ -1,13 +1,13 @@
-// Package authenticator says who a bearer token belongs to.
+// Package authenticator maps bearer tokens to principals.
 //
-// The configuration has SHA-256 hashes of tokens only. A [Set] is built from one
-// version of the configuration and does not change afterwards. A principal may
-// have several valid tokens, so that a token is replaced without a gap: add the
-// hash of the new one, let every user change over, remove the old hash.
+// The configuration contains only SHA-256 hashes of tokens. A [Set] is built from
+// one version of the configuration and is immutable. A principal may have several
+// valid tokens, so that tokens can be rotated without interruption: add the hash of
+// the new token, switch every user to it, then remove the old hash.
 //
-// Every presented token is compared with every hash in constant time, so that
-// the time of an answer says nothing about which hashes are near or where in the
-// configuration they stand.
+// Every presented token is compared with every hash in constant time, so that the
+// response time reveals neither similar hashes nor their position in the
+// configuration.
 package authenticator
 
 import (
@@ -19,7 +19,7 @@
 	"strings"
 )
 
-// Role says what a principal may do.
+// Role determines what a principal may do.
 type Role string
 
 // The roles.
@@ -32,7 +32,7 @@
 	RoleOperator Role = "operator"
 )
 
-// Principal is who a token belongs to.
+// Principal is the owner of a token.
 type Principal struct {
 	// Name is the team of a caller or the name of an operator.
 	Name string
@@ -46,11 +46,11 @@
 	Hashes []string
 }
 
-// Set has the tokens of one version of the configuration.
+// Set holds the token hashes of one version of the configuration.
 type Set struct {
 	tokens []token
-	// equal compares two hashes and returns 1 if they are the same; tests count its
-	// calls.
+	// equal returns 1 if two hashes are equal, and 0 otherwise. Tests replace it to
+	// count comparisons.
 	equal func(a, b []byte) int
 }
 
@@ -59,9 +59,8 @@
 	principal Principal
 }
 
-// New returns the set of all valid tokens. It returns an error of kind
-// [KindHash], which names the principal but not the hash, if a hash cannot be
-// read.
+// New returns the set of the credentials' tokens. If a hash is malformed, it returns
+// an error of kind [KindHash], which has the principal's name but not the hash.
 func New(credentials []Credential) (*Set, error) {
 	s := &Set{equal: subtle.ConstantTimeCompare}
 	for _, c := range credentials {
@@ -76,7 +75,7 @@
 	return s, nil
 }
 
-// Empty reports whether there is no valid token for the roles.
+// Empty reports whether no token belongs to a principal with one of the roles.
 func (s *Set) Empty(roles ...Role) bool {
 	for i := range s.tokens {
 		if slices.Contains(roles, s.tokens[i].principal.Role) {
@@ -86,15 +85,15 @@
 	return true
 }
 
-// Authenticate returns the principal of a token among those that have one of the
-// roles. It returns an error of kind [KindUnknown] if there is none.
+// Authenticate returns the principal that the presented token belongs to and that has
+// one of the roles. It returns an error of kind [KindUnknown] if there is none.
 func (s *Set) Authenticate(presented string, roles ...Role) (Principal, error) {
 	hash := sha256.Sum256([]byte(presented))
 	var found *token
 	for i := range s.tokens {
 		t := &s.tokens[i]
-		same := s.equal(hash[:], t.hash[:])
-		if same == 1 && slices.Contains(roles, t.principal.Role) {
+		match := s.equal(hash[:], t.hash[:])
+		if match == 1 && slices.Contains(roles, t.principal.Role) {
 			found = t
 		}
 	}
@@ -114,7 +113,7 @@
 	return presented, nil
 }
 
-// Hash returns the hash of a token as the configuration has it.
+// Hash returns the hash of a token in the form that the configuration uses.
 func Hash(presented string) string {
 	hash := sha256.Sum256([]byte(presented))
 	return hex.EncodeToString(hash[:])
--- a/internal/authenticator/authenticator_test.go
+++ b/internal/authenticator/authenticator_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestRotation changes a team's token over three versions of the configuration:
-// the old one, both, the new one.
+// TestRotation rotates a team's token over three versions of the configuration, which
+// have the old token, both tokens, and the new token.
 func TestRotation(t *testing.T) {
 	const before, after = "token-before", "token-after"
 	team := Principal{Name: "order-desk", Role: RoleCaller}
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestRoles checks that a token counts only for its own roles, and that errors
-// have neither tokens nor hashes.
+// TestRoles checks that a token is valid only for the role of its principal, and that
+// errors do not contain the token.
 func TestRoles(t *testing.T) {
 	set, err := New([]Credential{
 		{Principal: Principal{"order-desk", RoleCaller}, Hashes: []string{Hash("caller-token")}},
@@ -67,7 +67,8 @@
 	}
 }
 
-// TestMalformedHash checks that the error names the principal and not the hash.
+// TestMalformedHash checks that the error contains the principal's name but not the
+// hash.
 func TestMalformedHash(t *testing.T) {
 	_, err := New([]Credential{{Principal: Principal{"order-desk", RoleCaller}, Hashes: []string{"secret-typed-as-hash"}}})
 	if diff := cmp.Diff("new: malformed-hash of order-desk", err.Error()); diff != "" {
@@ -93,8 +94,8 @@
 	}
 }
 
-// TestEveryHashIsCompared checks that a token is compared with every hash, wherever
-// its own stands, so that the time of an answer does not tell.
+// TestEveryHashIsCompared checks that a token is compared with every hash, also after
+// a match, so that the response time does not reveal the position of the match.
 func TestEveryHashIsCompared(t *testing.T) {
 	set, err := New([]Credential{
 		{Principal: Principal{"order-desk", RoleCaller}, Hashes: []string{Hash("first"), Hash("second")}},
--- a/internal/authenticator/error.go
+++ b/internal/authenticator/error.go
@@ -2,7 +2,7 @@
 
 import "github.com/juju/errors"
 
-// Kind says why a request has no principal.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of errors of this package.
@@ -12,7 +12,7 @@
 	KindUnknown Kind = "unknown-token"
 )
 
-// Error is the error type of this package. It never has a token or a hash.
+// Error is the error type of this package. It never contains a token or a hash.
 type Error struct {
 	Op   string // Op is the operation that failed.
 	Kind Kind   // Kind is one of the Kind constants.
