--- a/internal/certifier/certifier.go
+++ b/internal/certifier/certifier.go
@@ -1,11 +1,11 @@
-// Package certifier makes TLS configurations from files that may change while
-// the process runs.
+// Package certifier provides TLS configurations from files that may change while the
+// process runs.
 //
-// A [Certifier] holds the certificate, key and authorities as they were last
-// read. Every handshake uses what holds at its time; connections that stand are
-// not touched. [Certifier.Reload] reads the files again if they have changed and
-// keeps what it has if they cannot be read, so that a half-written renewal does
-// no harm.
+// A [Certifier] holds the certificate, key and authorities as last read. Every
+// handshake uses the files loaded at that time; established connections are not
+// affected. [Certifier.Reload] reads the files again. If they cannot be read or are
+// invalid, it keeps the previous content in use, so that a half-written renewal is
+// harmless.
 package certifier
 
 import (
@@ -22,34 +22,35 @@
 	"github.com/juju/errors"
 )
 
-// Files are where the material is. Certificate and Key are set together.
+// Files are the names of the files. Certificate and Key must be set together.
 type Files struct {
 	Certificate string
 	Key         string
-	// Authorities is a file of certificates that sign the peers'.
+	// Authorities has the certificates of the authorities that sign the peers'
+	// certificates.
 	Authorities string
-	// ServerName is the name that every certificate of the system carries. If it
-	// is empty a certificate must carry the address that was dialled.
+	// ServerName is the name that the certificate of every server must have. If it is
+	// empty, the certificate must have the address that was dialled.
 	ServerName string
 }
 
-// Certifier has the material in force.
+// Certifier holds the key material that is in use.
 type Certifier struct {
 	files   Files
 	current atomic.Pointer[material]
 }
 
-// material is one reading of the files; it does not change.
+// material is the content of the files at one time; it is immutable.
 type material struct {
-	raw         [3][]byte // raw has the files' content, to see a change.
+	raw         [3][]byte // Content of the files, to detect changes.
 	certificate *tls.Certificate
 	authorities *x509.CertPool
 }
 
 const dialTimeout = 5 * time.Second
 
-// New reads the files. It returns an error of kind [KindRead] or [KindInvalid],
-// which names the file but has none of its content.
+// New reads the files. Its errors are of kind [KindRead] or [KindInvalid]; they
+// contain the name of the file but none of its content.
 func New(files Files) (*Certifier, error) {
 	m, err := read(files)
 	if err != nil {
@@ -60,8 +61,8 @@
 	return c, nil
 }
 
-// Reload reads the files and reports whether what is in force has changed. On
-// error the former material stays in force.
+// Reload reads the files again and reports whether their content has changed. After
+// an error the previous material stays in use.
 func (c *Certifier) Reload() (bool, error) {
 	m, err := read(c.files)
 	if err != nil {
@@ -77,7 +78,8 @@
 	return false, nil
 }
 
-// Expiry returns when the certificate in force expires; zero if there is none.
+// Expiry returns the expiry time of the certificate in use, or the zero time if there
+// is none.
 func (c *Certifier) Expiry() time.Time {
 	if cert := c.current.Load().certificate; cert != nil {
 		return cert.Leaf.NotAfter
@@ -85,12 +87,12 @@
 	return time.Time{}
 }
 
-// Server returns the configuration of a listener that needs no certificate of
-// the client.
+// Server returns the configuration of a listener that does not request client
+// certificates.
 func (c *Certifier) Server() *tls.Config { return c.server(tls.NoClientCert) }
 
-// PeerServer returns the configuration of a listener that requires a certificate
-// which one of the authorities has signed.
+// PeerServer returns the configuration of a listener that requires a client
+// certificate signed by one of the authorities.
 func (c *Certifier) PeerServer() *tls.Config { return c.server(tls.RequireAndVerifyClientCert) }
 
 func (c *Certifier) server(auth tls.ClientAuthType) *tls.Config {
@@ -103,8 +105,8 @@
 				ClientAuth: auth,
 				ClientCAs:  m.authorities,
 				NextProtos: []string{"http/1.1"},
-				// A ticket would carry a client's verified certificate past a
-				// change of the authorities.
+				// Resuming a session with a ticket would accept a client without
+				// verifying its certificate against changed authorities.
 				SessionTicketsDisabled: true,
 			}
 			if m.certificate != nil {
@@ -115,8 +117,8 @@
 	}
 }
 
-// Client returns the configuration of one dialled connection. It is made anew
-// for each, so that it has the material in force.
+// Client returns a configuration for dialling one connection, with the material in use
+// at the time of the call. Callers must request a new one for each connection.
 func (c *Certifier) Client() *tls.Config {
 	m := c.current.Load()
 	config := &tls.Config{
@@ -131,8 +133,8 @@
 	return config
 }
 
-// HTTPClient returns a client whose connections use the material in force when
-// they are dialled.
+// HTTPClient returns a client each of whose connections uses the material that is in
+// use when the connection is dialled.
 func (c *Certifier) HTTPClient() *http.Client {
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		d := tls.Dialer{NetDialer: &net.Dialer{Timeout: dialTimeout}, Config: c.Client()}
--- a/internal/certifier/certifier_test.go
+++ b/internal/certifier/certifier_test.go
@@ -26,7 +26,7 @@
 	return c
 }
 
-// serveEcho answers every line with itself over TLS and returns the address.
+// serveEcho starts a TLS server that echoes every line, and returns its address.
 func serveEcho(t *testing.T, config *tls.Config) string {
 	t.Helper()
 	l, err := tls.Listen("tcp", "127.0.0.1:0", config)
@@ -56,8 +56,8 @@
 	}
 }
 
-// say sends a line over the connection and reports whether it came back.
-func say(conn *tls.Conn) bool {
+// echoLine sends a line over the connection and reports whether the server echoed it.
+func echoLine(conn *tls.Conn) bool {
 	if err := conn.SetDeadline(time.Now().Add(ioTimeout)); err != nil {
 		return false
 	}
@@ -68,20 +68,20 @@
 	return err == nil && line == "hello\n"
 }
 
-// talk dials, says a line and reports whether it came back. A server turns a
-// client away after the client's side of the handshake, so that only an answer
-// shows that it was let in.
-func talk(addr string, config *tls.Config) bool {
+// dialAndEcho dials, sends a line and reports whether the server echoed it. A server
+// may reject a client after the client has completed its side of the handshake, so
+// only an echo proves that the server accepted the client.
+func dialAndEcho(addr string, config *tls.Config) bool {
 	conn, err := tls.Dial("tcp", addr, config)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	return say(conn)
+	return echoLine(conn)
 }
 
-// TestPeers checks which clients a listener for peers lets in, and which servers
-// a client trusts.
+// TestPeers checks which clients a listener for peers accepts, and which servers a
+// client trusts.
 func TestPeers(t *testing.T) {
 	ours, theirs := issuer.New(t), issuer.New(t)
 	later := time.Now().Add(time.Hour)
@@ -90,19 +90,19 @@
 	expired := newCertifier(t, ours.Issue(t.TempDir(), past))
 	foreign := newCertifier(t, theirs.Issue(t.TempDir(), later))
 	files := ours.Issue(t.TempDir(), later)
-	bare := newCertifier(t, certifier.Files{Authorities: files.Authorities})
+	uncertified := newCertifier(t, certifier.Files{Authorities: files.Authorities})
 	named := ours.Issue(t.TempDir(), later)
 	named.ServerName = "another.test"
 
 	got := map[string]bool{
-		"good client":            talk(serveEcho(t, good.PeerServer()), good.Client()),
-		"client without":         talk(serveEcho(t, good.PeerServer()), bare.Client()),
-		"expired client":         talk(serveEcho(t, good.PeerServer()), expired.Client()),
-		"foreign client":         talk(serveEcho(t, good.PeerServer()), foreignClient(foreign, good)),
-		"expired server":         talk(serveEcho(t, expired.PeerServer()), good.Client()),
-		"foreign server":         talk(serveEcho(t, foreign.Server()), good.Client()),
-		"server of another name": talk(serveEcho(t, good.Server()), newCertifier(t, named).Client()),
-		"caller without":         talk(serveEcho(t, good.Server()), bare.Client()),
+		"good client":            dialAndEcho(serveEcho(t, good.PeerServer()), good.Client()),
+		"client without":         dialAndEcho(serveEcho(t, good.PeerServer()), uncertified.Client()),
+		"expired client":         dialAndEcho(serveEcho(t, good.PeerServer()), expired.Client()),
+		"foreign client":         dialAndEcho(serveEcho(t, good.PeerServer()), foreignClient(foreign, good)),
+		"expired server":         dialAndEcho(serveEcho(t, expired.PeerServer()), good.Client()),
+		"foreign server":         dialAndEcho(serveEcho(t, foreign.Server()), good.Client()),
+		"server of another name": dialAndEcho(serveEcho(t, good.Server()), newCertifier(t, named).Client()),
+		"caller without":         dialAndEcho(serveEcho(t, good.Server()), uncertified.Client()),
 	}
 	want := map[string]bool{
 		"good client":            true,
@@ -115,19 +115,20 @@
 		"caller without":         true,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("let in (-want +got):\n%s", diff)
+		t.Errorf("accepted (-want +got):\n%s", diff)
 	}
 }
 
-// foreignClient trusts the server but has a certificate of another authority.
+// foreignClient returns the configuration of a client that trusts the authorities of
+// trusting, but has the certificate of foreign, signed by another authority.
 func foreignClient(foreign, trusting *certifier.Certifier) *tls.Config {
 	config := foreign.Client()
 	config.RootCAs = trusting.Client().RootCAs
 	return config
 }
 
-// TestRenewal renews the server's certificate: the connection that stands goes
-// on, and the next one gets the new certificate.
+// TestRenewal renews the server's certificate. The established connection must keep
+// working, and the next connection must get the new certificate.
 func TestRenewal(t *testing.T) {
 	authority := issuer.New(t)
 	dir := t.TempDir()
@@ -141,7 +142,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if !say(conn) {
+	if !echoLine(conn) {
 		t.Fatal("the connection does not work")
 	}
 	if changed, err := c.Reload(); changed || err != nil {
@@ -151,8 +152,8 @@
 	if changed, err := c.Reload(); !changed || err != nil {
 		t.Errorf("reload after a change: %v, %v", changed, err)
 	}
-	if !say(conn) {
-		t.Error("the renewal broke a connection that stood")
+	if !echoLine(conn) {
+		t.Error("the renewal broke an established connection")
 	}
 	next, err := tls.Dial("tcp", addr, c.Client())
 	if err != nil {
@@ -169,8 +170,8 @@
 	}
 }
 
-// TestAuthorityChange changes the authority in three steps without a gap: both
-// are trusted, the certificates change, the old one is dropped.
+// TestAuthorityChange replaces the server's authority without interruption: first the
+// server trusts the old one, then both, then only the new one.
 func TestAuthorityChange(t *testing.T) {
 	before, after := issuer.New(t), issuer.New(t)
 	later := time.Now().Add(time.Hour)
@@ -182,7 +183,7 @@
 	trusting := foreignClient(renewed, old)
 
 	var got []bool
-	check := func() { got = append(got, talk(addr, old.Client()), talk(addr, trusting)) }
+	check := func() { got = append(got, dialAndEcho(addr, old.Client()), dialAndEcho(addr, trusting)) }
 	check()
 	write(t, serverFiles.Authorities, append(before.PEM(), after.PEM()...))
 	reload(t, server)
@@ -191,12 +192,12 @@
 	reload(t, server)
 	check()
 	if diff := cmp.Diff([]bool{true, false, true, true, false, true}, got); diff != "" {
-		t.Errorf("old and new client let in (-want +got):\n%s", diff)
+		t.Errorf("old and new client accepted (-want +got):\n%s", diff)
 	}
 }
 
-// TestBrokenFiles checks that a half-written renewal leaves the former material
-// in force, and that errors have no content of the files.
+// TestBrokenFiles checks that the previous material stays in use after a half-written
+// renewal, and that errors do not contain the content of the files.
 func TestBrokenFiles(t *testing.T) {
 	authority := issuer.New(t)
 	files := authority.Issue(t.TempDir(), time.Now().Add(time.Hour))
@@ -222,10 +223,10 @@
 			continue
 		}
 		if strings.Contains(err.Error(), string(key[30:60])) {
-			t.Errorf("the error has a part of the key: %v", err)
+			t.Errorf("the error contains a part of the key: %v", err)
 		}
-		if !talk(addr, c.Client()) {
-			t.Errorf("%s: the former material is not in force", broken.name)
+		if !dialAndEcho(addr, c.Client()) {
+			t.Errorf("%s: the previous material is not in use", broken.name)
 		}
 		write(t, broken.name, whole)
 	}
--- a/internal/certifier/error.go
+++ b/internal/certifier/error.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind says what went wrong with the files.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of errors of this package.
@@ -11,11 +11,11 @@
 	KindInvalid Kind = "invalid"
 )
 
-// Error is the error type of this package. It never has content of a file.
+// Error is the error type of this package. It never contains content of a file.
 type Error struct {
 	Op   string // Op is the operation that failed.
 	Kind Kind   // Kind is one of the Kind constants.
-	File string // File is the file at fault.
+	File string // File is the name of the file that caused the error.
 	Err  error  // Err is the cause and is never nil.
 }
 
