--- a/internal/messenger/codec.go
+++ b/internal/messenger/codec.go
@@ -7,9 +7,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits of what a peer may send.
+// Limits on the messages of a peer.
 const (
-	// MaxMessageBytes bounds one WebSocket message.
+	// MaxMessageBytes is the largest size of one WebSocket message.
 	MaxMessageBytes = 64 << 20
 	maxArrayLen     = 1 << 17
 	maxMapPairs     = 1 << 10
@@ -30,9 +30,9 @@
 	return nil
 }
 
-// Decode reads the frames of one message and passes each to handle. It returns
-// an error of kind [KindDecode], which names the offset, at the first frame that
-// cannot be read; the frames before it have been handled.
+// Decode decodes the frames of one message and passes each to handle. It stops at
+// the first frame that is malformed and returns an error of kind [KindDecode] with
+// the offset; the frames before it have been handled.
 func Decode(message []byte, handle func(*Frame)) error {
 	dec := decMode.NewDecoder(bytes.NewReader(message))
 	for {
@@ -44,15 +44,15 @@
 		if err != nil {
 			return &Error{Op: "decode", Kind: KindDecode, Offset: dec.NumBytesRead(), Err: err}
 		}
-		if !f.named() {
+		if !f.hasValidSubmissions() {
 			return &Error{Op: "decode", Kind: KindDecode, Offset: dec.NumBytesRead(), Err: errNoSubmission}
 		}
 		handle(f)
 	}
 }
 
-// A codec mode is made from constants, so an error here is a fault of this
-// package and shows at the first start of any program.
+// mustEncMode panics on an error: the options are constants, so that an error is a bug
+// of this package, which appears as soon as any program starts.
 func mustEncMode() cbor.UserBufferEncMode {
 	mode, err := cbor.EncOptions{
 		Time:          cbor.TimeUnixDynamic,
@@ -64,6 +64,7 @@
 	return mode
 }
 
+// mustDecMode panics on an error, like [mustEncMode].
 func mustDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: maxArrayLen,
--- a/internal/messenger/ephemeral.go
+++ b/internal/messenger/ephemeral.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Room is an amount of an upstream's capacity.
+// Resources is an amount of an upstream's capacity.
 type Resources struct {
 	MilliCPU     int64 `cbor:"1,keyasint,omitempty"` // MilliCPU is in thousandths of a core.
 	MemoryBytes  int64 `cbor:"2,keyasint,omitempty"`
 	Accelerators int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Add returns the sum of two amounts.
+// Add returns r + o.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{r.MilliCPU + o.MilliCPU, r.MemoryBytes + o.MemoryBytes, r.Accelerators + o.Accelerators}
 }
 
-// Sub returns the amount without another. Parts of it may be negative.
+// Sub returns r - o. Components of the difference may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryBytes - o.MemoryBytes, r.Accelerators - o.Accelerators}
 }
 
-// Fits reports whether the amount is within another in every part.
-func (r Resources) Fits(in Resources) bool {
-	return r.MilliCPU <= in.MilliCPU && r.MemoryBytes <= in.MemoryBytes && r.Accelerators <= in.Accelerators
+// Fits reports whether no component of r exceeds that of limit.
+func (r Resources) Fits(limit Resources) bool {
+	return r.MilliCPU <= limit.MilliCPU && r.MemoryBytes <= limit.MemoryBytes && r.Accelerators <= limit.Accelerators
 }
 
-// TaskRef names one task of an ephemeral job.
+// TaskRef identifies one task of an ephemeral job.
 type TaskRef struct {
 	Job   string `cbor:"1,keyasint"`
 	Step  int    `cbor:"2,keyasint,omitempty"`
@@ -46,32 +46,34 @@
 // Launch asks an agent to run one task of an ephemeral job.
 type Launch struct {
 	Task TaskRef `cbor:"1,keyasint"`
-	// Run counts the starts of the task. It grows with each.
+	// Run numbers the starts of the task and increases with each of them.
 	Run       uint64    `cbor:"2,keyasint"`
 	Payload   string    `cbor:"3,keyasint,omitempty"`
 	Resources Resources `cbor:"4,keyasint"`
 	// Service is the service that the upstream must belong to.
 	Service string `cbor:"5,keyasint"`
-	// Urgency is the latest start that lets the job meet its objective, on the
-	// agent's clock. Waiting tasks are started by priority and in its order.
+	// Urgency is the latest start time, on the agent's clock, at which the job still
+	// meets its objective. Waiting tasks start in order of priority, then of Urgency.
 	Urgency time.Duration `cbor:"6,keyasint"`
-	// StartBy is on the agent's clock. A task that has not started by then goes back.
+	// StartBy is on the agent's clock. A task that has not started by then is returned
+	// to the entry.
 	StartBy time.Duration `cbor:"7,keyasint"`
-	// Expected is how long the task is expected to run.
+	// ExpectedRunTime is the expected run time of the task.
 	ExpectedRunTime time.Duration `cbor:"8,keyasint"`
-	// Life is the upstream that the entry chose. Another one at the same agent does
-	// not run the task.
+	// Incarnation is the incarnation of the upstream that the entry chose. The agent
+	// does not start the task on any other incarnation.
 	Incarnation string `cbor:"9,keyasint"`
-	// Failures is how often the task has failed elsewhere.
+	// Failures is the number of times that the task has failed on other upstreams.
 	Failures int `cbor:"10,keyasint,omitempty"`
-	// Insist means that a suspect upstream runs the task as well, because too many are
-	// suspect.
+	// AllowSuspect lets the agent start the task on a suspect upstream. The entry sets it
+	// when too many upstreams are suspect.
 	AllowSuspect bool `cbor:"11,keyasint,omitempty"`
-	// Priority is that of the queue; 0 comes first.
+	// Priority is the priority of the task in the agent's queue; 0 is the highest.
 	Priority int `cbor:"12,keyasint,omitempty"`
 }
 
-// Withdraw ends a task of an ephemeral job, whether it waits or runs.
+// Withdraw asks an agent to remove a waiting task of an ephemeral job from its queue,
+// or to stop the task if it runs.
 type Withdraw struct {
 	Task TaskRef `cbor:"1,keyasint"`
 	Run  uint64  `cbor:"2,keyasint"`
@@ -82,16 +84,16 @@
 
 // The kinds of ends.
 const (
-	EndDone       EndKind = "done"       // The upstream ran the task with success.
-	EndFailed     EndKind = "failed"     // The upstream ran the task without success.
-	EndReturned   EndKind = "returned"   // The task did not start.
-	EndRefused    EndKind = "refused"    // The upstream refused the task, which did not start.
-	EndStaleRun   EndKind = "stale-run"  // The upstream has seen a higher run of the task.
+	EndDone       EndKind = "done"       // The task succeeded.
+	EndFailed     EndKind = "failed"     // The task ran and failed.
+	EndReturned   EndKind = "returned"   // The agent returned the task without starting it.
+	EndRefused    EndKind = "refused"    // The upstream refused to start the task.
+	EndStaleRun   EndKind = "stale-run"  // The upstream has seen a higher run number of the task.
 	EndWithdrawn  EndKind = "withdrawn"  // The entry withdrew the task.
-	EndStalled    EndKind = "stalled"    // The task stood still and was stopped.
+	EndStalled    EndKind = "stalled"    // The task made no progress and was stopped.
 	EndStraggled  EndKind = "straggled"  // The task was far slower than expected and was stopped.
-	EndLost       EndKind = "lost"       // The upstream ended, or its lease lapsed.
-	EndUnresolved EndKind = "unresolved" // Whether the task started is not known; it does not run any more.
+	EndLost       EndKind = "lost"       // The upstream terminated, or its lease expired.
+	EndUnresolved EndKind = "unresolved" // It is unknown whether the task started; it no longer runs.
 )
 
 // Ran reports whether the task may have started.
@@ -99,46 +101,49 @@
 	return k != EndReturned && k != EndRefused && k != EndStaleRun
 }
 
-// End is the end of a task of an ephemeral job.
+// End reports to the entry that a task of an ephemeral job has ended at an agent.
 type End struct {
 	Task TaskRef `cbor:"1,keyasint"`
 	Run  uint64  `cbor:"2,keyasint"`
 	Kind EndKind `cbor:"3,keyasint"`
-	// Took is the time from the start to the end, if the task ran.
+	// RunTime is the time from the start to the end, if the task ran.
 	RunTime time.Duration `cbor:"4,keyasint,omitempty"`
-	// Started reports whether the task may have started, if it was withdrawn.
+	// Started is set if a withdrawn task may have started.
 	Started bool `cbor:"5,keyasint,omitempty"`
 }
 
-// RunnerState is how an agent stands to the upstream that it drives.
+// RunnerState is the state of the upstream that an agent runs tasks on.
 type RunnerState string
 
-// The states of a driven upstream.
+// The states of an upstream that runs tasks of ephemeral jobs.
 const (
-	RunnerAbsent  RunnerState = "absent" // None is announced, or it does not answer.
+	RunnerAbsent  RunnerState = "absent" // No upstream is announced, or it does not answer.
 	RunnerReady   RunnerState = "ready"
-	RunnerSuspect RunnerState = "suspect" // It fails or stalls tasks; nothing is started there.
-	RunnerProbing RunnerState = "probing" // It was suspect and may run a few tasks.
+	RunnerSuspect RunnerState = "suspect" // Tasks fail or stall there, so no task is started.
+	RunnerProbing RunnerState = "probing" // It was suspect; a few tasks are started to probe it.
 	RunnerLeaving RunnerState = "leaving"
 )
 
-// Load is what an agent tells every entry about its upstream.
+// Load is an agent's report of the state and load of its upstream to every entry.
 type Load struct {
-	Incarnation string      `cbor:"1,keyasint,omitempty"` // Life names the upstream's run; a restart is another.
+	Incarnation string      `cbor:"1,keyasint,omitempty"` // Incarnation identifies the upstream's incarnation, which changes with a restart.
 	Service     string      `cbor:"2,keyasint,omitempty"`
 	State       RunnerState `cbor:"3,keyasint"`
 	Labels      []string    `cbor:"4,keyasint,omitempty"`
 	Capacity    Resources   `cbor:"5,keyasint"`
-	Used        Resources   `cbor:"6,keyasint"` // Used is charged for what runs and for starts without an answer.
-	Queued      Resources   `cbor:"7,keyasint"` // Queued is asked for by what waits.
-	// Seen is the number of launches that the agent has received on this connection.
+	Used        Resources   `cbor:"6,keyasint"` // Used is taken by running tasks and by starts that are not acknowledged yet.
+	Queued      Resources   `cbor:"7,keyasint"` // Queued is the sum of the resources that waiting tasks need.
+	// LaunchesReceived is the number of launches that the agent has received on this
+	// connection.
 	LaunchesReceived uint64 `cbor:"8,keyasint,omitempty"`
-	// Pace is the run time of recent tasks by the expected one, in percent.
+	// RelativeRunTimePercent is the run time of recent tasks divided by their expected
+	// run time, in percent.
 	RelativeRunTimePercent int64 `cbor:"9,keyasint,omitempty"`
 }
 
-// Stamp is the clock of the sender, and the latest stamp that it has received.
-// A process takes nothing from a peer that has not heard of it for a while.
+// Stamp carries the sender's clock and echoes the latest clock that the sender has
+// received from the peer. A process ignores messages of a peer whose echo is too old,
+// since that peer has not received from it recently.
 type Stamp struct {
 	Clock time.Duration `cbor:"1,keyasint"`
 	Echo  time.Duration `cbor:"2,keyasint,omitempty"`
--- a/internal/messenger/error.go
+++ b/internal/messenger/error.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Kind says what is wrong with a message.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of errors of this package.
+// The kinds of errors.
 const (
 	KindEncode Kind = "encode"
 	KindDecode Kind = "decode"
@@ -15,7 +15,7 @@
 type Error struct {
 	Op     string // Op is the operation that failed.
 	Kind   Kind   // Kind is one of the Kind constants.
-	Offset int    // Offset is the byte at which decoding stopped.
+	Offset int    // Offset is the offset in bytes at which decoding stopped.
 	Err    error  // Err is the cause and is never nil.
 }
 
--- a/internal/messenger/frame.go
+++ b/internal/messenger/frame.go
@@ -1,12 +1,11 @@
 // Package messenger defines the messages between the system's own processes and
 // their encoding.
 //
-// A [Frame] is the unit that one process hands to a connection. It carries at
-// most one message of each kind, so that everything that is ready for a peer at
-// one moment goes out together. Frames are CBOR maps with small integer keys; a
-// WebSocket message is a sequence of one or more frames. Unknown keys are
-// ignored, so that a newer peer may add fields; [ProtocolVersion] changes when
-// the meaning of a known field changes.
+// A [Frame] is the unit that a process queues on a connection. It has one field for
+// each kind of message, so that all messages that are ready for a peer are sent
+// together. Frames are CBOR maps with small integer keys; a WebSocket message is a
+// sequence of one or more frames. Unknown keys are ignored, so that a newer peer may
+// add fields; [ProtocolVersion] changes when the meaning of a known field changes.
 package messenger
 
 import (
@@ -28,8 +27,8 @@
 	RoleAgent Role = "agent"
 )
 
-// Peer names one run of a process. A process that restarts is another peer:
-// what it kept in memory is gone.
+// Peer identifies one incarnation of a process. A restarted process is a different
+// peer, since its state in memory is lost.
 type Peer string
 
 // Frame is the unit that is encoded and sent.
@@ -73,7 +72,7 @@
 	DataCentre string         `cbor:"5,keyasint"`
 	Rack       string         `cbor:"6,keyasint"`
 	PeerAddr   netip.AddrPort `cbor:"7,keyasint"` // PeerAddr is where an entry accepts peers.
-	// Epochs has the epoch an agent holds for each partition, indexed by partition.
+	// Epochs are the epochs that an agent holds, indexed by partition.
 	Epochs []uint64 `cbor:"8,keyasint,omitempty"`
 	// ConfigVersion is the version of the configuration in force at the sender, or 0.
 	ConfigVersion uint64 `cbor:"20,keyasint,omitempty"`
@@ -81,15 +80,15 @@
 	Instance string `cbor:"21,keyasint,omitempty"`
 }
 
-// Contact carries the proof of recent contact that leases rest on. It rides on
-// other messages. An entry sets Ping; the agent sends the highest Ping it has
-// seen back as Echo. A lease counts from the time at which the echoed ping was
-// sent, never from the time at which the echo arrived.
+// Contact is the heartbeat that renews leases. It is piggybacked on other messages.
+// An entry sets Ping; the agent returns the highest Ping that it has received as
+// Echo. A lease runs from the time at which the echoed ping was sent, never from the
+// time at which the echo arrived.
 type Contact struct {
 	Ping uint64 `cbor:"1,keyasint,omitempty"`
 	Echo uint64 `cbor:"2,keyasint,omitempty"`
-	// Clock is the agent's own monotonic clock when it made the message. Start-by
-	// times are expressed on that clock, so that no two wall clocks are compared.
+	// Clock is the agent's monotonic clock when it built the message. Start-by times are
+	// expressed on that clock, so that no two wall clocks are compared.
 	Clock time.Duration `cbor:"3,keyasint,omitempty"`
 	// Raised lists partitions whose epoch the agent has raised since its last
 	// contact on this connection.
@@ -102,8 +101,8 @@
 	Epoch     uint64               `cbor:"2,keyasint"`
 }
 
-// Start asks an agent to start tasks of one submission. One Start carries all
-// tasks of a job that go to the agent at that moment.
+// Start asks an agent to start tasks of one submission. It carries all tasks of the
+// job that are assigned to the agent at the same time.
 type Start struct {
 	Submission identifier.Submission `cbor:"1,keyasint"`
 	Epoch      uint64                `cbor:"2,keyasint"`
@@ -111,14 +110,14 @@
 	Path       string                `cbor:"4,keyasint"`
 	// StartBy is on the agent's clock. A task that has not started by then is refused.
 	StartBy time.Duration `cbor:"5,keyasint"`
-	// EndBy is on the agent's clock. A task that still runs by then is stopped.
+	// EndBy is on the agent's clock. A task that still runs at that time is stopped.
 	EndBy time.Duration `cbor:"6,keyasint"`
 	Tasks []TaskStart   `cbor:"7,keyasint"`
-	// RequestKey and Digest are kept in the agent's record for a new owner.
+	// RequestKey and Digest are stored in the agent's record, where a new owner reads them.
 	RequestKey string `cbor:"8,keyasint,omitempty"`
 	Digest     uint64 `cbor:"9,keyasint,omitempty"`
-	// Work is how long what is left of the job is expected to take on all slots.
-	// Starts that wait at the agent go in its order, the least first.
+	// RemainingWork is the expected slot time of the job's unfinished tasks, over all
+	// slots. Starts that wait at the agent run in ascending order of it.
 	RemainingWork time.Duration `cbor:"10,keyasint,omitempty"`
 }
 
@@ -136,8 +135,8 @@
 // The kinds of results.
 const (
 	ResultDone    ResultKind = "done"    // The upstream answered with success.
-	ResultFailed  ResultKind = "failed"  // The task started and did not succeed.
-	ResultRefused ResultKind = "refused" // The task did not start and the agent will not start it for this epoch.
+	ResultFailed  ResultKind = "failed"  // The task started and failed.
+	ResultRefused ResultKind = "refused" // The task did not start, and the agent will not start it in this epoch.
 )
 
 // Refusal says why an agent refused a start.
@@ -146,7 +145,7 @@
 // The reasons of refusals by an agent.
 const (
 	RefusalStaleEpoch Refusal = "stale-epoch"
-	RefusalDuplicate  Refusal = "duplicate" // The task was started before: never a proof that it did not run.
+	RefusalDuplicate  Refusal = "duplicate" // The task was started before; it may have run.
 	RefusalExpired    Refusal = "expired"
 	RefusalLeaving    Refusal = "leaving"
 	RefusalLapsed     Refusal = "announcement-lapsed"
@@ -154,7 +153,7 @@
 	RefusalCancelled  Refusal = "cancelled"
 	RefusalMemory     Refusal = "record-memory-limit"
 	RefusalUnadmitted Refusal = "not-admitted" // The agent is not yet part of the roster.
-	RefusalFenced     Refusal = "fenced"       // A fence of the same epoch came while the start waited.
+	RefusalFenced     Refusal = "fenced"       // A fence of the same epoch arrived while the start waited.
 	RefusalInvalid    Refusal = "invalid"      // The task index is beyond the largest job.
 )
 
@@ -164,7 +163,7 @@
 	Tasks      []TaskResult          `cbor:"2,keyasint"`
 }
 
-// FailureCause says why a task that started did not succeed.
+// FailureCause says why a task that started failed.
 type FailureCause string
 
 // The causes of failures.
@@ -181,33 +180,34 @@
 	Detail  string        `cbor:"4,keyasint,omitempty"`
 	Payload []byte        `cbor:"5,keyasint,omitempty"`
 	RunTime time.Duration `cbor:"6,keyasint,omitempty"`
-	// PeakMemoryBytes is what the upstream reported for the task; zero if it reported nothing.
+	// PeakMemoryBytes is the peak memory that the upstream reported for the task, or 0.
 	PeakMemoryBytes int64 `cbor:"7,keyasint,omitempty"`
-	// Cause is set exactly if the kind is failed.
+	// Cause is set if and only if Kind is [ResultFailed].
 	Cause FailureCause `cbor:"8,keyasint,omitempty"`
 }
 
-// Cancel asks an agent to stop the running tasks of a submission and never to
-// start others of it. The agent answers with a CancelAck.
+// Cancel asks an agent to stop the running tasks of a submission and to start no
+// more of them. The agent answers with a [CancelAck].
 type Cancel struct {
 	Submission identifier.Submission `cbor:"1,keyasint"`
 	Epoch      uint64                `cbor:"2,keyasint"`
 }
 
-// CancelAck says which tasks of a cancelled submission had started at the agent.
-// All others of the submission will never start there.
+// CancelAck lists the tasks of a cancelled submission that had started at the agent.
+// No other task of the submission will start there.
 type CancelAck struct {
 	Submission identifier.Submission `cbor:"1,keyasint"`
 	Started    []uint16              `cbor:"2,keyasint,omitempty"`
 }
 
-// Settlement tells an agent that the owner has the results of a submission, so
-// that the agent may drop their payloads. It keeps the record of what started.
+// Settlement tells an agent that the owner has received the results of a submission.
+// The agent may then delete their payloads, but keeps the record of the tasks that
+// started.
 type Settlement struct {
 	Submission identifier.Submission `cbor:"1,keyasint"`
 }
 
-// UpstreamState is what an agent says about its upstream.
+// UpstreamState is the state of an upstream as its agent reports it.
 type UpstreamState string
 
 // The states of an upstream.
@@ -217,7 +217,8 @@
 	UpstreamLeaving UpstreamState = "leaving"
 )
 
-// Capacity is what an agent says about its upstream. It is sent on change only.
+// Capacity is an agent's report of the state and capacity of its upstream. It is sent
+// on change only.
 type Capacity struct {
 	State        UpstreamState `cbor:"1,keyasint"`
 	Services     []string      `cbor:"2,keyasint"`
@@ -227,9 +228,9 @@
 	Accelerators int           `cbor:"6,keyasint"`
 }
 
-// Credit divides an agent's slots between entries. From agent to entry, Limit is
-// the number of starts that the entry may have outstanding there. From entry to
-// agent, Backlog is the number of tasks that wait at the entry for a slot.
+// Credit divides an agent's slots between entries. An agent sets Limit to the number of
+// starts that the entry may have outstanding at the agent. An entry sets Backlog to the
+// number of its tasks that wait for a slot.
 type Credit struct {
 	Limit   int `cbor:"1,keyasint,omitempty"`
 	Backlog int `cbor:"2,keyasint,omitempty"`
@@ -242,30 +243,30 @@
 	Service    string                `cbor:"3,keyasint"`
 	Team       string                `cbor:"4,keyasint"`
 	RequestKey string                `cbor:"5,keyasint,omitempty"`
-	// Remaining is what is left of the deadline when the message is made.
+	// Remaining is the time left until the deadline when the message is built.
 	Remaining time.Duration `cbor:"6,keyasint"`
 	Tasks     []TaskSpec    `cbor:"7,keyasint"`
-	// Attach asks for the answer of a known submission without bringing its tasks.
+	// Attach asks for the answer of a known submission; Tasks is absent.
 	Attach bool `cbor:"8,keyasint,omitempty"`
 	// Cancel asks to cancel the submission.
 	Cancel bool `cbor:"9,keyasint,omitempty"`
-	// Fresh says that the sending entry made the id for this request, so that no
-	// other request can have brought it before.
+	// NewID is set if the sending entry generated the id for this request, so that no
+	// earlier request can have used it.
 	NewID bool `cbor:"10,keyasint,omitempty"`
-	// Resent says that the request was with another owner before, which did not
+	// Resent is set if the request was sent to another owner before, which did not
 	// answer it.
 	Resent bool `cbor:"12,keyasint,omitempty"`
-	// Abandon says that the caller of the ticket has gone; only Ticket and
-	// Submission are set then.
+	// Abandon is set if the caller of the ticket has disconnected; besides it, only
+	// Ticket and Submission are set.
 	Abandon bool `cbor:"11,keyasint,omitempty"`
 }
 
-// Moved sends a Forward back: the sender does not own the partition any more.
+// Moved returns a [Forward]: the sender no longer owns the partition.
 type Moved struct {
 	Ticket uint64 `cbor:"1,keyasint"`
 }
 
-// TaskSpec is one task as the caller declared it.
+// TaskSpec is one task as declared by the caller.
 type TaskSpec struct {
 	Payload      []byte        `cbor:"1,keyasint"`
 	RunTime      time.Duration `cbor:"2,keyasint,omitempty"`
@@ -285,41 +286,41 @@
 	Results    [][]byte              `cbor:"7,keyasint,omitempty"`
 }
 
-// Routes tells a peer which entries there are, and which rows the sender has seen.
-// Who owns a partition is in the rows alone.
+// Routes tells a peer the known entries and the table revision that the sender has
+// read. The owners of partitions are in the rows of the table only.
 type Routes struct {
 	Entries []EntryAddr `cbor:"1,keyasint,omitempty"`
-	// Revision is the table revision that the sender has seen.
+	// Revision is the latest table revision that the sender has read.
 	Revision uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// EntryAddr is where an entry accepts peers.
+// EntryAddr is the address at which an entry accepts peers.
 type EntryAddr struct {
 	Peer Peer           `cbor:"1,keyasint"`
 	Addr netip.AddrPort `cbor:"2,keyasint"`
 }
 
-// Config passes on a version of the operators' configuration and says which one
+// Config propagates a version of the operators' configuration and states which version
 // is in force at the sender.
 type Config struct {
 	// Version is the version in force at the sender, or 0.
 	Version uint64 `cbor:"1,keyasint,omitempty"`
-	// Document is the whole version between entries, and the settings of an agent
-	// from an entry to an agent. It is absent where only the number is passed on.
+	// Document is the whole version if sent to an entry, and the settings of the agent
+	// if sent to an agent. It is absent if only the number is sent.
 	Document []byte `cbor:"2,keyasint,omitempty"`
-	// Fresh is set if the sender can learn the current version: an entry reads it
-	// from the table, an agent is connected to such an entry.
+	// SourceReachable is set if the sender can learn the current version: an entry that
+	// reads the table, or an agent that is connected to such an entry.
 	SourceReachable bool `cbor:"3,keyasint,omitempty"`
-	// Age is how long the version has been in force at the sender.
+	// Age is the time since the version came into force at the sender.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
-	// Want asks for the document of a version that is not below it; 0 asks for none.
+	// WantVersion requests the document of this or a later version; 0 requests none.
 	WantVersion uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// AdminQuery asks a peer for a part of its state, for listings over all entries.
+// AdminQuery asks a peer for part of its state, for listings across all entries.
 type AdminQuery struct {
 	Ticket uint64 `cbor:"1,keyasint"`
-	// Call names the call of the administration API.
+	// Call is the name of the call of the administration API.
 	Call string `cbor:"2,keyasint"`
 	Body []byte `cbor:"3,keyasint,omitempty"`
 }
--- a/internal/messenger/fuzz_test.go
+++ b/internal/messenger/fuzz_test.go
@@ -13,7 +13,7 @@
 	"sardinelock.dev/sardinelock/internal/identifier"
 )
 
-// sampleFrame has a message of each kind.
+// sampleFrame returns a frame with one message of each kind.
 func sampleFrame() *Frame {
 	s := identifier.Submission{0: 1, 6: 0x70, 8: 0x80}
 	return &Frame{
@@ -48,8 +48,8 @@
 	}
 }
 
-// FuzzDecode checks that no message makes the decoder panic, and that whatever
-// it accepts is encoded and decoded to the same frames.
+// FuzzDecode checks that no message makes the decoder panic, and that accepted frames
+// are the same after a round trip through the encoder.
 func FuzzDecode(f *testing.F) {
 	var buf bytes.Buffer
 	if err := Append(&buf, sampleFrame()); err != nil {
@@ -62,14 +62,14 @@
 	f.Add([]byte{0x9f, 0x9f, 0x9f})
 	f.Fuzz(func(t *testing.T, message []byte) {
 		frames := decodeAll(message)
-		var again bytes.Buffer
+		var reencoded bytes.Buffer
 		for _, frame := range frames {
-			if err := Append(&again, frame); err != nil {
+			if err := Append(&reencoded, frame); err != nil {
 				t.Fatalf("an accepted frame cannot be encoded: %v", err)
 			}
 			frame.Count()
 		}
-		if diff := cmp.Diff(frames, decodeAll(again.Bytes()), cmpopts.EquateEmpty(), cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
+		if diff := cmp.Diff(frames, decodeAll(reencoded.Bytes()), cmpopts.EquateEmpty(), cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
 			t.Errorf("frames (-first +second):\n%s", diff)
 		}
 	})
@@ -77,13 +77,13 @@
 
 func decodeAll(message []byte) []*Frame {
 	var frames []*Frame
-	// The frames before an error count; the error itself is not under test.
+	// The frames before an error are compared; the error itself is not under test.
 	_ = Decode(message, func(f *Frame) { frames = append(frames, f) })
 	return frames
 }
 
-// TestEveryMessageIsCounted checks that each field of a frame has a kind of its
-// own in the counts.
+// TestEveryMessageIsCounted checks that each field of a frame is counted under its own
+// kind.
 func TestEveryMessageIsCounted(t *testing.T) {
 	fields := reflect.TypeFor[Frame]().NumField()
 	if named := len(MessageKinds) - 1; named != fields {
--- a/internal/messenger/kind.go
+++ b/internal/messenger/kind.go
@@ -1,10 +1,10 @@
 package messenger
 
-// MessageKind names one kind of message of a [Frame], as metrics count it.
+// MessageKind is the name of one kind of message of a [Frame], as used in metrics.
 type MessageKind string
 
-// MessageKinds lists the kinds of messages in the order in which a frame is
-// named after them: the kinds that carry work come first.
+// MessageKinds lists the kinds of messages. A frame is attributed to the first of them
+// that it contains, so the kinds that carry work come first.
 var MessageKinds = [...]MessageKind{
 	"start", "result", "forward", "answer", "handover", "launch", "end",
 	"hello", "cancel", "cancel-ack", "capacity", "credit", "fence", "fenced",
@@ -12,26 +12,25 @@
 	"withdraw", "load", "stamp", "other",
 }
 
-// workKinds is the number of kinds, from the first, that carry work. All others
-// are control traffic.
+// workKinds is the number of kinds at the head of [MessageKinds] that carry work.
 const workKinds = 7
 
 // CarriesWork reports whether messages of the kind with the given index carry
 // tasks or their results. All others are control traffic.
 func CarriesWork(index int) bool { return index < workKinds }
 
-// KindCounts has the number of messages of each kind, indexed as [MessageKinds].
+// KindCounts holds the number of messages of each kind, indexed like [MessageKinds].
 type KindCounts [len(MessageKinds)]int
 
 // Count returns the number of messages of each kind in the frame.
 func (f *Frame) Count() KindCounts {
 	n := KindCounts{
-		len(f.Starts), len(f.Results), len(f.Forwards), len(f.Answers), one(f.Handover != nil),
+		len(f.Starts), len(f.Results), len(f.Forwards), len(f.Answers), boolToInt(f.Handover != nil),
 		len(f.Launches), len(f.Ends),
-		one(f.Hello != nil), len(f.Cancels), len(f.CancelAcks), one(f.Capacity != nil), one(f.Credit != nil),
-		one(f.Fence != nil), len(f.Fenced), one(f.Routes != nil), one(f.Config != nil), len(f.Settled),
-		len(f.Query), len(f.Reports), one(f.Admit != nil), len(f.Moved), one(f.Expel != nil), len(f.RecordTransfers), len(f.RecordTransferStatuses), one(f.Contact != nil),
-		len(f.Withdraws), one(f.Load != nil), one(f.Stamp != nil),
+		boolToInt(f.Hello != nil), len(f.Cancels), len(f.CancelAcks), boolToInt(f.Capacity != nil), boolToInt(f.Credit != nil),
+		boolToInt(f.Fence != nil), len(f.Fenced), boolToInt(f.Routes != nil), boolToInt(f.Config != nil), len(f.Settled),
+		len(f.Query), len(f.Reports), boolToInt(f.Admit != nil), len(f.Moved), boolToInt(f.Expel != nil), len(f.RecordTransfers), len(f.RecordTransferStatuses), boolToInt(f.Contact != nil),
+		len(f.Withdraws), boolToInt(f.Load != nil), boolToInt(f.Stamp != nil),
 	}
 	if n.Leading() == len(n)-1 {
 		n[len(n)-1] = 1
@@ -39,8 +38,8 @@
 	return n
 }
 
-// Leading returns the index of the first kind that occurs. The bytes of a frame
-// are counted under this kind. It is the last kind if none occurs.
+// Leading returns the index of the first kind that occurs, under which the bytes of the
+// frame are counted. It is the index of the last kind if none occurs.
 func (n *KindCounts) Leading() int {
 	for i, count := range n {
 		if count > 0 {
@@ -50,7 +49,7 @@
 	return len(n) - 1
 }
 
-func one(present bool) int {
+func boolToInt(present bool) int {
 	if present {
 		return 1
 	}
