--- a/internal/applier/applier_test.go
+++ b/internal/applier/applier_test.go
@@ -11,11 +11,11 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// The promise and the aim of the users for a version to be in force everywhere.
+// The required and the desired time until a version is in force everywhere.
 const (
-	inForceWithin = 11 * time.Second
-	inForceAim    = 3 * time.Second
-	// tableReadsPerSecond is what the platform's table service can answer.
+	inForceBound  = 11 * time.Second
+	inForceTarget = 3 * time.Second
+	// tableReadsPerSecond is the capacity of the platform's table service.
 	tableReadsPerSecond = 2000
 )
 
@@ -29,7 +29,7 @@
 
 func (w *world) check(t *testing.T) {
 	t.Helper()
-	for _, fault := range w.faults {
+	for _, fault := range w.violations {
 		t.Error(fault)
 	}
 	if lagging := w.lagging(); len(lagging) > 0 {
@@ -37,23 +37,23 @@
 	}
 }
 
-// TestInForceWithin changes the configuration in systems with loss, reordering
-// and tables that some entries do not reach.
+// TestInForceWithin checks how long a new version takes to come into force everywhere,
+// with lost and reordered messages and with a table that only one entry reaches.
 func TestInForceWithin(t *testing.T) {
 	cases := []struct {
 		name    string
 		prepare func(w *world)
 		limit   time.Duration
 	}{
-		{"calm", func(*world) {}, inForceAim},
-		{"reordered", func(w *world) { w.maxDelay = 400 * time.Millisecond }, inForceWithin},
-		{"lossy", func(w *world) { w.lossRatio = 0.3 }, inForceWithin},
-		{"lossy and reordered", func(w *world) { w.lossRatio, w.maxDelay = 0.3, 400*time.Millisecond }, inForceWithin},
+		{"calm", func(*world) {}, inForceTarget},
+		{"reordered", func(w *world) { w.maxDelay = 400 * time.Millisecond }, inForceBound},
+		{"lossy", func(w *world) { w.lossRatio = 0.3 }, inForceBound},
+		{"lossy and reordered", func(w *world) { w.lossRatio, w.maxDelay = 0.3, 400*time.Millisecond }, inForceBound},
 		{"one entry reads the table", func(w *world) {
 			for _, e := range w.entries[1:] {
-				e.cutTable = true
+				e.tableUnreachable = true
 			}
-		}, inForceWithin},
+		}, inForceBound},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 			var longest time.Duration
 			for range 50 {
 				w.current++
-				took := w.runUntilInForce(inForceWithin * 2)
+				took := w.runUntilInForce(inForceBound * 2)
 				longest = max(longest, took)
 				w.run(time.Duration(w.random.Int64N(int64(3 * time.Second))))
 			}
@@ -77,17 +77,17 @@
 	}
 }
 
-// TestBudget counts reads and messages at the size of the plan: 20 entries, 900
-// agents, and a change every 108 s, which is 800 a day.
+// TestBudget measures the rate of reads and messages at the planned size: 20 entries,
+// 900 agents, and a change every 108 s, which is 800 a day.
 func TestBudget(t *testing.T) {
 	const (
 		entries = 20
 		agents  = 900
 		changes = 1
 		pause   = 108 * time.Second
-		// A node may spend 18 KB a second on all control traffic.
+		// The budget of a node for all control traffic is 18 KB a second.
 		maxNodeBytesPerSecond = 18 << 10
-		// Every entry reads one row a second, and a document for each change.
+		// Every entry reads one row a second, and one document for each change.
 		maxReadsPerSecond = entries + 1
 	)
 	w := newSlowWorld(1, entries, agents, time.Second)
@@ -97,7 +97,7 @@
 	var longest time.Duration
 	for range changes {
 		w.current++
-		took := w.runUntilInForce(inForceWithin)
+		took := w.runUntilInForce(inForceBound)
 		longest = max(longest, took)
 		w.run(pause - took)
 	}
@@ -106,8 +106,8 @@
 	reads := float64(w.reads) / seconds
 	perNode := float64(w.bytes) / seconds / entries
 	t.Logf("longest %s; %.1f reads/s; %.0f messages a change; %.0f B/s at an entry", longest, reads, float64(w.sent)/changes, perNode)
-	if longest > inForceAim {
-		t.Errorf("a version took %s, want at most %s", longest, inForceAim)
+	if longest > inForceTarget {
+		t.Errorf("a version took %s, want at most %s", longest, inForceTarget)
 	}
 	benchLine(t, "configuration-reads-20-entries-900-agents", reads, "reads/s", tableReadsPerSecond)
 	if reads > maxReadsPerSecond {
@@ -118,8 +118,9 @@
 	}
 }
 
-// TestInForceAtSize changes the configuration at any time within the period of the
-// reads, at the size of the plan, calm and with 30% of all messages and reads lost.
+// TestInForceAtSize checks how long a new version takes to come into force everywhere at
+// the planned size, without faults and with 30% of all messages and reads lost. The
+// changes occur at random times within the poll interval.
 func TestInForceAtSize(t *testing.T) {
 	const changes = 10
 	for _, c := range []struct {
@@ -127,8 +128,8 @@
 		loss  float64
 		limit time.Duration
 	}{
-		{"configuration-in-force-everywhere", 0, inForceAim},
-		{"configuration-in-force-everywhere-30%-lost", 0.3, inForceWithin},
+		{"configuration-in-force-everywhere", 0, inForceTarget},
+		{"configuration-in-force-everywhere-30%-lost", 0.3, inForceBound},
 	} {
 		w := newSlowWorld(1, 20, 900, time.Second)
 		w.run(20 * time.Second)
@@ -137,7 +138,7 @@
 		var longest time.Duration
 		for range changes {
 			w.current++
-			longest = max(longest, w.runUntilInForce(inForceWithin*2))
+			longest = max(longest, w.runUntilInForce(inForceBound*2))
 			w.run(time.Duration(w.random.Int64N(int64(3 * time.Second))))
 		}
 		w.check(t)
@@ -145,7 +146,7 @@
 	}
 }
 
-// benchLine prints a figure for .ci/bench and fails if it is over its bound.
+// benchLine prints a measurement for .ci/bench and fails the test if it exceeds its bound.
 func benchLine(t *testing.T, name string, value float64, unit string, bound float64) {
 	t.Helper()
 	verdict := "ok"
@@ -156,13 +157,15 @@
 	fmt.Printf("BENCH %s %.4g %s %g %s\n", name, value, unit, bound, verdict)
 }
 
-// TestOutage restarts an entry and an agent while the table is down.
+// TestOutage restarts an entry and an agent while the table is down. Both must restore
+// the version in force from their peers, and a change after the outage must come into
+// force everywhere in time.
 func TestOutage(t *testing.T) {
 	w := newWorld(1, 3, 5)
 	w.run(10 * time.Second)
 	w.current = 5
-	w.runUntilInForce(inForceWithin)
-	w.down = true
+	w.runUntilInForce(inForceBound)
+	w.tableDown = true
 	w.run(20 * time.Second)
 	for _, n := range append(w.entries[:2:2], w.agents[0]) {
 		if got := w.status(n).State; got != StateUnconfirmed {
@@ -171,15 +174,15 @@
 	}
 	w.start(w.entries[0], false)
 	w.start(w.agents[0], true)
-	w.run(inForceWithin)
+	w.run(inForceBound)
 	w.check(t)
 	if v := w.entries[0].inForce; v != 5 {
 		t.Errorf("the restarted entry has version %d, want 5", v)
 	}
 	w.current = 6
-	w.down = false
-	if took := w.runUntilInForce(inForceWithin * 2); took > inForceWithin {
-		t.Errorf("it took %s after the outage, want at most %s", took, inForceWithin)
+	w.tableDown = false
+	if took := w.runUntilInForce(inForceBound * 2); took > inForceBound {
+		t.Errorf("it took %s after the outage, want at most %s", took, inForceBound)
 	}
 	w.run(time.Second)
 	for _, n := range append(w.entries[:1:1], w.agents[0]) {
@@ -197,14 +200,14 @@
 	return n.entry.Status(w.now)
 }
 
-// TestOldEntryComesBack cuts an entry off, changes the configuration without it,
-// and lets it meet the others again while the table is down.
+// TestOldEntryComesBack checks that an isolated entry, which missed a change, does not
+// reinstate the old version when it reconnects while the table is down.
 func TestOldEntryComesBack(t *testing.T) {
 	w := newWorld(1, 3, 5)
 	w.run(10 * time.Second)
 	old := w.entries[2]
-	w.cut(old)
-	old.cutTable = true
+	w.isolate(old)
+	old.tableUnreachable = true
 	w.current = 4
 	w.run(10 * time.Second)
 	if old.inForce != 1 {
@@ -213,15 +216,15 @@
 	if got := w.status(old).State; got != StateUnconfirmed {
 		t.Errorf("the old entry is %s, want %s", got, StateUnconfirmed)
 	}
-	w.down = true
-	w.heal(old)
+	w.tableDown = true
+	w.reconnect(old)
 	w.start(w.agents[0], true)
-	w.run(inForceWithin)
+	w.run(inForceBound)
 	w.check(t)
 }
 
-// TestListensFirst starts an entry while the table is down. The first peer it
-// meets has an old version; it must not take that before it has met the others.
+// TestListensFirst starts an entry while the table is down. The first peer that connects
+// has an old version; the entry must not activate it before the discovery period is over.
 func TestListensFirst(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	a := New(now, messenger.Hello{Peer: "e"}, DefaultLimits(), checkText)
@@ -230,7 +233,7 @@
 	now = now.Add(time.Second)
 	a.Tick(now)
 	if out := a.Take(now); out.InForce != nil {
-		t.Fatalf("version %d is in force before the others were heard", out.InForce.Number)
+		t.Fatalf("version %d is in force before the end of the discovery period", out.InForce.Number)
 	}
 	a.PeerUp(now, messenger.Hello{Peer: "new", Role: messenger.RoleEntry, ConfigVersion: 5})
 	a.Receive(now, "new", &messenger.Config{Version: 5, Document: text(5)})
@@ -242,8 +245,9 @@
 	}
 }
 
-// TestUnusable meets a version that this process cannot read, as during an
-// upgrade: it stays at the one in force and says so.
+// TestUnusable checks that a process that cannot read a new version, as can happen
+// during an upgrade, keeps the version in force, reports the error, and does not read
+// the document again.
 func TestUnusable(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	a := New(now, messenger.Hello{Peer: "e"}, DefaultLimits(), checkText)
@@ -265,9 +269,9 @@
 	}
 }
 
-// TestNeverReverts drives a whole system at random and holds each version that
-// comes into force against the oracle in observe. In the end all faults stop, and
-// the accepted version must be in force everywhere in time.
+// TestNeverReverts injects random faults into a whole system and checks each version that
+// comes into force against the oracle in checkActivated. After all faults have stopped,
+// the accepted version must come into force everywhere in time.
 func TestNeverReverts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(rt, "seed"), 3, 3)
@@ -276,32 +280,32 @@
 		rt.Repeat(map[string]func(*rapid.T){
 			"accept":  func(*rapid.T) { w.current++ },
 			"wait":    func(rt *rapid.T) { w.run(time.Duration(rapid.IntRange(1, 6000).Draw(rt, "ms")) * time.Millisecond) },
-			"table":   func(rt *rapid.T) { w.down = rapid.Bool().Draw(rt, "down") },
+			"table":   func(rt *rapid.T) { w.tableDown = rapid.Bool().Draw(rt, "down") },
 			"restart": func(rt *rapid.T) { n := node(rt); w.start(n, n.agent != nil) },
-			"cut":     func(rt *rapid.T) { w.cut(node(rt)) },
-			"heal":    func(rt *rapid.T) { w.heal(node(rt)) },
-			"read":    func(rt *rapid.T) { node(rt).cutTable = rapid.Bool().Draw(rt, "cut") },
+			"cut":     func(rt *rapid.T) { w.isolate(node(rt)) },
+			"heal":    func(rt *rapid.T) { w.reconnect(node(rt)) },
+			"read":    func(rt *rapid.T) { node(rt).tableUnreachable = rapid.Bool().Draw(rt, "cut") },
 			"links": func(rt *rapid.T) {
 				w.lossRatio = rapid.SampledFrom([]float64{0, 0.2, 0.5}).Draw(rt, "loss")
 				w.maxDelay = time.Duration(rapid.IntRange(1, 1000).Draw(rt, "ms")) * time.Millisecond
 			},
 			"": func(rt *rapid.T) {
-				if len(w.faults) > 0 {
-					rt.Fatal(w.faults)
+				if len(w.violations) > 0 {
+					rt.Fatal(w.violations)
 				}
 			},
 		})
-		w.down, w.lossRatio, w.maxDelay = false, 0, 3*time.Millisecond
+		w.tableDown, w.lossRatio, w.maxDelay = false, 0, 3*time.Millisecond
 		for _, n := range all {
-			n.cutTable = false
-			w.heal(n)
+			n.tableUnreachable = false
+			w.reconnect(n)
 		}
-		w.runUntilInForce(inForceWithin)
+		w.runUntilInForce(inForceBound)
 		if lagging := w.lagging(); len(lagging) > 0 {
 			rt.Fatalf("version %d is not in force at %v", w.current, lagging)
 		}
-		if len(w.faults) > 0 {
-			rt.Fatal(w.faults)
+		if len(w.violations) > 0 {
+			rt.Fatal(w.violations)
 		}
 	})
 }
--- a/internal/applier/listing.go
+++ b/internal/applier/listing.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Merge joins what several entries know into one listing by process. Of a process
-// that several have reported the highest version counts, and of one version the
-// report that knew more. A process is behind if any of them knows a later
-// version. The function returns the status within a row.
+// Merge combines the listings of several entries into one, sorted by process. If several
+// entries report a process, the report with the highest version is kept, and among
+// those the one with the best informed state. A process whose version is below the
+// highest of any report is behind. The status function returns the status within a row.
 func Merge[T any](status func(*T) *Status, lists ...[]T) []T {
 	all := slices.Concat(lists...)
 	slices.SortStableFunc(all, func(a, b T) int { return compareReports(status(&a), status(&b)) })
@@ -27,7 +27,7 @@
 	return all
 }
 
-// compareReports orders by process and then puts the report first that counts.
+// compareReports orders reports by process, and those of one process by preference.
 func compareReports(a, b *Status) int {
 	return cmp.Or(
 		cmp.Compare(a.Process, b.Process),
@@ -36,5 +36,5 @@
 	)
 }
 
-// rank orders the states of one version by how much their reporter knew.
+// rank orders states by how well the reporter was informed, the best first.
 func rank(s State) int { return slices.Index(States(), s) }
--- a/internal/applier/listing_test.go
+++ b/internal/applier/listing_test.go
@@ -9,7 +9,8 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// TestMerge joins the views of two entries, of which one has heard less.
+// TestMerge merges the listings of two entries, one of which has not received the latest
+// version.
 func TestMerge(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	status := func(p messenger.Peer, r messenger.Role, s State, version, highest uint64) Status {
--- a/internal/applier/register.go
+++ b/internal/applier/register.go
@@ -1,20 +1,21 @@
 // Package applier decides which version of the operators' configuration is in
 // force at a process.
 //
-// Versions are numbered, and numbers only grow. An [Applier] is the state of an
-// entry: it polls the number of the current version in the platform's table, asks
-// for the document when the number grows, and passes the number on to its peers.
-// A [Follower] is the state of an agent, which reads nothing and takes versions
-// from the entries it is connected to.
+// Versions are numbered, and numbers only increase. An [Applier] is the state of an
+// entry: it polls the number of the current version in the platform's table, fetches
+// the document when the number increases, and sends the number to its peers. A
+// [Follower] is the state of an agent, which does not read the table and receives
+// versions from the entries that it is connected to.
 //
-// The rule of both is the same. A process remembers the highest number that any
-// source has shown it and never puts a lower version in force than the one in
-// force. A process that has nothing in force yet, as after a restart, takes
-// nothing below the highest number shown either, and while the table does not
-// answer it first listens for a while to those who know. So no order of messages,
-// no restart and no outage brings an old version back.
+// Both follow the same rule. A process records the highest number that it has seen
+// from any source, and never replaces the version in force with a lower one. A process
+// without a version in force, for example after a restart, does not activate a version
+// below the highest number seen. If the table does not answer, it also waits for
+// [Limits.DiscoveryPeriod] to learn which versions its peers have. So neither reordered
+// messages nor a restart nor an outage reinstates an old version.
 //
-// The package does no I/O: events come in with a time, and Take returns what to do.
+// The package does no I/O: events are passed in with a time, and Take returns the
+// actions to carry out.
 package applier
 
 import (
@@ -25,22 +26,23 @@
 
 // Limits are the settings of an applier or follower.
 type Limits struct {
-	// PollEvery is the pause between two reads of the current number.
+	// PollInterval is the time between two reads of the current version number.
 	PollInterval time.Duration
-	// FreshFor is how long the answer to a read proves that a process can learn
-	// the current version.
+	// ConfirmationTTL is how long a successful read counts as proof that the process can
+	// learn the current version.
 	ConfirmationTTL time.Duration
-	// RetryEvery is the pause before a message that had no effect is repeated.
+	// RetryInterval is the time after which a message without effect is repeated.
 	RetryInterval time.Duration
-	// SettleFor is how long a process without a version listens before it takes
-	// one that does not come from the table.
+	// DiscoveryPeriod is how long a process without a version in force collects the
+	// numbers of its peers before it activates a version that the table has not
+	// confirmed.
 	DiscoveryPeriod time.Duration
-	// ReportWithin is how long a report of an agent waits for another message to
-	// the same entry that it can ride on.
+	// MaxReportDelay is how long an agent delays a report in order to send it with
+	// another message to the same entry.
 	MaxReportDelay time.Duration
 }
 
-// DefaultLimits returns the limits that processes run with.
+// DefaultLimits returns the limits that processes use.
 func DefaultLimits() Limits {
 	return Limits{
 		PollInterval:    time.Second,
@@ -51,7 +53,7 @@
 	}
 }
 
-// Document is a version with its number.
+// Document is the text of a version with its number.
 type Document struct {
 	Number uint64
 	Text   []byte
@@ -61,107 +63,114 @@
 type Send struct {
 	To     messenger.Peer
 	Config *messenger.Config
-	// Settings is set if the message must carry the settings of the agent as its
-	// document, which the sender of the message adds.
+	// AddSettings is set if the caller must add the settings of the agent to the message
+	// as its document.
 	AddSettings bool
 }
 
-// State says how a process stands to the current version.
+// State is the state of a process relative to the current version.
 type State string
 
 // The states of a process.
 const (
-	StateCurrent     State = "current"     // The latest version is in force and a later one would be learned.
-	StateBehind      State = "behind"      // A later version is known and not in force.
-	StateUnconfirmed State = "unconfirmed" // A later version could not be learned.
+	StateCurrent     State = "current"     // The highest known version is in force, and the process would learn of a later one.
+	StateBehind      State = "behind"      // A later version is known but not in force.
+	StateUnconfirmed State = "unconfirmed" // The highest known version is in force, but the process would not learn of a later one.
 	StateNone        State = "none"        // No version is in force.
 )
 
 // States returns all states.
 func States() []State { return []State{StateCurrent, StateBehind, StateUnconfirmed, StateNone} }
 
-// Status is how one process stands to the current version.
+// Status is the status of one process relative to the current version.
 type Status struct {
 	Process    messenger.Peer `json:"process"`
 	Role       messenger.Role `json:"role"`
 	DataCentre string         `json:"data-centre"`
 	State      State          `json:"state"`
-	Version    uint64         `json:"version"` // Version is the one in force, or 0.
-	// Highest is the highest number that any source has shown.
+	Version    uint64         `json:"version"` // Version is the version in force, or 0.
+	// Highest is the highest version number that the reporter has seen.
 	Highest uint64 `json:"highest"`
-	// Since is when the version came into force, by the clock of the process that
-	// reports; zero if none is in force.
+	// Since is when the version came into force, by the reporter's clock; zero if none is
+	// in force.
 	Since time.Time `json:"since,omitzero"`
-	// Confirmed is when the table last said which version is current; zero if it
-	// never did or the process reads no table.
+	// Confirmed is when the current version number was last read from the table; zero if
+	// it never was or the process does not read the table.
 	Confirmed time.Time `json:"confirmed,omitzero"`
 	Detail    string    `json:"detail,omitempty"`
 }
 
-// register is the rule that entries and agents share.
-type register struct {
-	started time.Time
-	settled bool // settled is set once a version may be taken from any source.
-	inForce Document
-	since   time.Time
-	// highest is the highest number shown and never below that in force.
+// versionTracker implements the activation rule that entries and agents share.
+type versionTracker struct {
+	startedAt     time.Time
+	discoveryDone bool // discoveryDone is set once a version of any source may be activated.
+	inForce       Document
+	inForceSince  time.Time
+	// highest is the highest number seen; it is never below the number in force.
 	highest uint64
-	// pending is the highest document that could not be put in force yet.
+	// pending is the document with the highest number received. It waits for activation
+	// if its number is above that in force.
 	pending Document
-	// taken is set while the document in force has not been handed out.
-	taken bool
+	// undelivered is set while the document in force has not been returned to the caller.
+	undelivered bool
 }
 
-// show applies a number that a source has shown.
-func (r *register) show(number uint64) { r.highest = max(r.highest, number) }
+// observeNumber records a version number that a source has reported.
+func (r *versionTracker) observeNumber(number uint64) { r.highest = max(r.highest, number) }
 
-// offer applies a document that a source has shown.
-func (r *register) offer(now time.Time, d Document) {
-	r.show(d.Number)
+// addDocument records a document that a source has sent, and activates it if allowed.
+func (r *versionTracker) addDocument(now time.Time, d Document) {
+	r.observeNumber(d.Number)
 	if d.Number > r.pending.Number {
 		r.pending = d
 	}
-	r.settle(now)
+	r.activatePending(now)
 }
 
-// settle puts the pending document in force if the rule allows it, and reports
-// whether it did.
-func (r *register) settle(now time.Time) bool {
+// activatePending puts the pending document in force if the activation rule allows it.
+// It reports whether it did.
+func (r *versionTracker) activatePending(now time.Time) bool {
 	if r.pending.Number <= r.inForce.Number {
 		return false
 	}
-	first := r.inForce.Number == 0
-	if first && (!r.settled || r.pending.Number < r.highest) {
+	initial := r.inForce.Number == 0
+	if initial && (!r.discoveryDone || r.pending.Number < r.highest) {
 		return false
 	}
 	r.inForce = r.pending
-	r.since = now
-	r.taken = true
+	r.inForceSince = now
+	r.undelivered = true
 	return true
 }
 
-// lacks reports whether a version is known whose document is not at hand.
-func (r *register) lacks() bool { return r.highest > max(r.inForce.Number, r.pending.Number) }
+// documentMissing reports whether the document of the highest known version has not
+// been received.
+func (r *versionTracker) documentMissing() bool {
+	return r.highest > max(r.inForce.Number, r.pending.Number)
+}
 
-// take returns the document that has come into force since the last call.
-func (r *register) take() *Document {
-	if !r.taken {
+// takeActivated returns the document that has come into force since the last call, or
+// nil.
+func (r *versionTracker) takeActivated() *Document {
+	if !r.undelivered {
 		return nil
 	}
-	r.taken = false
+	r.undelivered = false
 	d := r.inForce
 	return &d
 }
 
-func (r *register) age(now time.Time) time.Duration {
+// age returns the time since the version came into force, or 0 if none is in force.
+func (r *versionTracker) age(now time.Time) time.Duration {
 	if r.inForce.Number == 0 {
 		return 0
 	}
-	return now.Sub(r.since)
+	return now.Sub(r.inForceSince)
 }
 
-// state returns the state of a process with this register.
-func (r *register) state(fresh bool) State {
+// state returns the state of the process. The parameter says whether the process would
+// learn of a later version.
+func (r *versionTracker) state(fresh bool) State {
 	switch {
 	case r.inForce.Number == 0:
 		return StateNone
--- a/internal/applier/world_test.go
+++ b/internal/applier/world_test.go
@@ -19,50 +19,50 @@
 func TestMain(m *testing.M) { seeder.Main(m) }
 
 const (
-	tickEvery   = 100 * time.Millisecond
-	callTimeout = 2 * time.Second
+	tickInterval = 100 * time.Millisecond
+	callTimeout  = 2 * time.Second
 )
 
 var errNoAnswer = errors.New("no answer")
 
-// world runs entries and agents in virtual time over links and a table that
-// misbehave as told.
+// world simulates entries and agents in virtual time, with fault injection for the links
+// and the table.
 type world struct {
 	now    time.Time
 	queue  events
 	random *rand.Rand
 
-	current   uint64 // current is the number of the accepted version.
-	down      bool   // down is set while the table answers nobody.
+	current   uint64 // current is the number of the latest accepted version.
+	tableDown bool   // tableDown is set while the table answers no process.
 	lossRatio float64
 	maxDelay  time.Duration
-	agentTick time.Duration // agentTick is the period of an agent's ticks.
-
-	entries []*node
-	agents  []*node
-	reads   int
-	sent    int
-	bytes   int
-	faults  []string // faults are breaches of the rule, with the time.
+	agentTick time.Duration // agentTick is the interval between ticks of an agent.
+
+	entries    []*node
+	agents     []*node
+	reads      int
+	sent       int
+	bytes      int
+	violations []string // violations describe versions that came into force against the rule.
 }
 
-// node is one place of a process; a restart puts a new process there.
+// node is a place where a process runs; a restart starts a new incarnation there.
 type node struct {
-	name     string
-	runs     int
-	entry    *Applier
-	agent    *Follower
-	cutTable bool // cutTable is set while the process does not reach the table.
-	cutPeers bool // cutPeers is set while its links lose everything.
-	inForce  uint64
-	inForced bool
-	shown    uint64 // shown is the oracle: the highest number that any source has shown this run.
-	at       time.Time
-	peers    []*node
+	name             string
+	incarnation      int
+	entry            *Applier
+	agent            *Follower
+	tableUnreachable bool // tableUnreachable is set while the process cannot reach the table.
+	isolated         bool // isolated is set while the node has no connections.
+	inForce          uint64
+	hasVersion       bool
+	highestShown     uint64 // highestShown is the highest number that this incarnation received; the oracle of checkActivated.
+	inForceAt        time.Time
+	peers            []*node
 }
 
 func (n *node) peer() messenger.Peer {
-	return messenger.Peer(n.name + "-" + strconv.Itoa(n.runs))
+	return messenger.Peer(n.name + "-" + strconv.Itoa(n.incarnation))
 }
 
 func (n *node) role() messenger.Role {
@@ -73,10 +73,11 @@
 }
 
 func newWorld(seed uint64, entries, agents int) *world {
-	return newSlowWorld(seed, entries, agents, tickEvery)
+	return newSlowWorld(seed, entries, agents, tickInterval)
 }
 
-// newSlowWorld is a world with rarer ticks of agents, for systems of many.
+// newSlowWorld returns a world with a longer interval between ticks of agents, for large
+// systems.
 func newSlowWorld(seed uint64, entries, agents int, agentTick time.Duration) *world {
 	w := &world{
 		now:      time.Unix(1_700_000_000, 0),
@@ -101,20 +102,20 @@
 	return w
 }
 
-// start puts a new process at a node and connects it.
+// start starts a new incarnation at a node and connects it.
 func (w *world) start(n *node, agent bool) {
 	for _, p := range n.peers {
 		w.disconnect(n, p)
 	}
-	n.runs++
-	n.inForce, n.shown, n.inForced, n.peers = 0, 0, false, nil
+	n.incarnation++
+	n.inForce, n.highestShown, n.hasVersion, n.peers = 0, 0, false, nil
 	if agent {
 		n.agent = NewFollower(w.now, DefaultLimits())
 	} else {
 		n.entry = New(w.now, messenger.Hello{Peer: n.peer(), Role: messenger.RoleEntry}, DefaultLimits(), checkText)
 	}
-	run := n.runs
-	w.after(time.Duration(w.random.Int64N(int64(tickEvery))), func() { w.tick(n, run) })
+	run := n.incarnation
+	w.after(time.Duration(w.random.Int64N(int64(tickInterval))), func() { w.tick(n, run) })
 	for _, e := range w.entries {
 		if e != n && e.entry != nil {
 			w.after(w.delay(), func() { w.connect(e, n, run) })
@@ -123,7 +124,7 @@
 	if !agent {
 		for _, a := range w.agents {
 			if a.agent != nil {
-				w.after(w.delay(), func() { w.connect(n, a, a.runs) })
+				w.after(w.delay(), func() { w.connect(n, a, a.incarnation) })
 			}
 		}
 	}
@@ -132,24 +133,24 @@
 func checkText(text []byte) (uint64, error) { return strconv.ParseUint(string(text), 10, 64) }
 
 func (w *world) tick(n *node, run int) {
-	if n.runs != run {
+	if n.incarnation != run {
 		return
 	}
-	period := tickEvery
+	period := tickInterval
 	if n.agent != nil {
 		n.agent.Tick(w.now)
 		period = w.agentTick
 	} else {
 		n.entry.Tick(w.now)
 	}
-	w.take(n)
+	w.execute(n)
 	w.after(period, func() { w.tick(n, run) })
 }
 
-// connect links an entry with another process, unless either is cut off; then it
-// is tried again.
+// connect connects an entry with another process. While either of them is isolated, it
+// retries.
 func (w *world) connect(e, n *node, run int) {
-	if n.runs != run {
+	if n.incarnation != run {
 		return
 	}
 	for _, p := range e.peers {
@@ -157,21 +158,21 @@
 			return
 		}
 	}
-	if e.cutPeers || n.cutPeers {
-		w.after(tickEvery, func() { w.connect(e, n, run) })
+	if e.isolated || n.isolated {
+		w.after(tickInterval, func() { w.connect(e, n, run) })
 		return
 	}
 	e.peers = append(e.peers, n)
 	n.peers = append(n.peers, e)
-	w.greet(e, n)
-	w.greet(n, e)
-	w.take(e)
-	w.take(n)
+	w.sendHello(e, n)
+	w.sendHello(n, e)
+	w.execute(e)
+	w.execute(n)
 }
 
-func (w *world) greet(to, from *node) {
+func (w *world) sendHello(to, from *node) {
 	h := messenger.Hello{Peer: from.peer(), Role: from.role(), ConfigVersion: from.inForce}
-	to.shown = max(to.shown, h.ConfigVersion)
+	to.highestShown = max(to.highestShown, h.ConfigVersion)
 	if to.agent != nil {
 		to.agent.EntryUp(w.now, h.Peer, h.ConfigVersion)
 		return
@@ -196,54 +197,54 @@
 	}
 }
 
-// cut separates a node from its peers; heal connects it again.
-func (w *world) cut(n *node) {
-	n.cutPeers = true
+// isolate disconnects a node from all peers, until reconnect.
+func (w *world) isolate(n *node) {
+	n.isolated = true
 	for _, p := range append([]*node(nil), n.peers...) {
 		w.disconnect(n, p)
 	}
 }
 
-func (w *world) heal(n *node) {
-	n.cutPeers = false
+func (w *world) reconnect(n *node) {
+	n.isolated = false
 	for _, e := range w.entries {
 		if e != n {
-			w.after(w.delay(), func() { w.connect(e, n, n.runs) })
+			w.after(w.delay(), func() { w.connect(e, n, n.incarnation) })
 		}
 	}
 	if n.entry == nil {
 		return
 	}
 	for _, a := range w.agents {
-		w.after(w.delay(), func() { w.connect(n, a, a.runs) })
+		w.after(w.delay(), func() { w.connect(n, a, a.incarnation) })
 	}
 }
 
-// take carries out what a process wants done.
-func (w *world) take(n *node) {
+// execute carries out the pending actions of a process.
+func (w *world) execute(n *node) {
 	if n.agent != nil {
 		out := n.agent.Take(w.now)
-		w.observe(n, out.InForce)
+		w.checkActivated(n, out.InForce)
 		w.send(n, out.Sends)
 		return
 	}
 	out := n.entry.Take(w.now)
-	w.observe(n, out.InForce)
+	w.checkActivated(n, out.InForce)
 	w.send(n, out.Sends)
-	run := n.runs
+	run := n.incarnation
 	if out.ReadHead {
-		w.call(n, run, func(ok bool) {
+		w.readTable(n, run, func(ok bool) {
 			number := w.current
 			if !ok {
 				n.entry.HeadRead(w.now, 0, errNoAnswer)
 				return
 			}
-			n.shown = max(n.shown, number)
+			n.highestShown = max(n.highestShown, number)
 			n.entry.HeadRead(w.now, number, nil)
 		})
 	}
 	if out.ReadDocument > 0 {
-		w.call(n, run, func(ok bool) {
+		w.readTable(n, run, func(ok bool) {
 			if !ok {
 				n.entry.DocumentRead(w.now, nil, errNoAnswer)
 				return
@@ -255,34 +256,35 @@
 
 func text(number uint64) []byte { return []byte(strconv.FormatUint(number, 10)) }
 
-// call reads the table.
-func (w *world) call(n *node, run int, answer func(ok bool)) {
+// readTable simulates a read of the table, which may time out.
+func (w *world) readTable(n *node, run int, answer func(ok bool)) {
 	w.reads++
 	delay := w.delay()
-	ok := !w.down && !n.cutTable && w.random.Float64() >= w.lossRatio
+	ok := !w.tableDown && !n.tableUnreachable && w.random.Float64() >= w.lossRatio
 	if !ok {
 		delay = callTimeout
 	}
 	w.after(delay, func() {
-		if n.runs == run {
+		if n.incarnation == run {
 			answer(ok)
-			w.take(n)
+			w.execute(n)
 		}
 	})
 }
 
-// observe holds a version that comes into force against the oracle.
-func (w *world) observe(n *node, d *Document) {
+// checkActivated checks a version that came into force: it must be above the previous one,
+// and the first one of an incarnation must not be below the highest number received.
+func (w *world) checkActivated(n *node, d *Document) {
 	if d == nil {
 		return
 	}
 	if d.Number <= n.inForce {
-		w.faults = append(w.faults, fmt.Sprintf("%s went from %d to %d", n.peer(), n.inForce, d.Number))
+		w.violations = append(w.violations, fmt.Sprintf("%s replaced version %d by %d", n.peer(), n.inForce, d.Number))
 	}
-	if !n.inForced && d.Number < n.shown {
-		w.faults = append(w.faults, fmt.Sprintf("%s began with %d although it was shown %d", n.peer(), d.Number, n.shown))
+	if !n.hasVersion && d.Number < n.highestShown {
+		w.violations = append(w.violations, fmt.Sprintf("%s activated version %d first, although it had received the number %d", n.peer(), d.Number, n.highestShown))
 	}
-	n.inForce, n.inForced, n.at = d.Number, true, w.now
+	n.inForce, n.hasVersion, n.inForceAt = d.Number, true, w.now
 }
 
 func (w *world) send(from *node, sends []Send) {
@@ -296,33 +298,33 @@
 		if w.random.Float64() < w.lossRatio {
 			continue
 		}
-		sender, run := from.peer(), from.runs
+		sender, run := from.peer(), from.incarnation
 		for _, to := range from.peers {
 			if to.peer() != s.To {
 				continue
 			}
-			toRun := to.runs
+			toRun := to.incarnation
 			w.after(w.delay(), func() { w.deliver(from, run, sender, to, toRun, &m) })
 		}
 	}
 }
 
 func (w *world) deliver(from *node, run int, sender messenger.Peer, to *node, toRun int, m *messenger.Config) {
-	if from.runs != run || to.runs != toRun || from.cutPeers || to.cutPeers {
+	if from.incarnation != run || to.incarnation != toRun || from.isolated || to.isolated {
 		return
 	}
-	to.shown = max(to.shown, m.Version)
+	to.highestShown = max(to.highestShown, m.Version)
 	if to.agent != nil {
 		to.agent.Receive(w.now, sender, m)
 	} else {
 		to.entry.Receive(w.now, sender, m)
 	}
-	w.take(to)
+	w.execute(to)
 }
 
 func (w *world) delay() time.Duration { return time.Duration(1 + w.random.Int64N(int64(w.maxDelay))) }
 
-// lagging returns the nodes at which the accepted version is not in force.
+// lagging describes the nodes at which the accepted version is not in force.
 func (w *world) lagging() []string {
 	var out []string
 	for _, n := range append(append([]*node(nil), w.entries...), w.agents...) {
@@ -333,19 +335,21 @@
 	return out
 }
 
-// anyLags reports whether lagging would return any, which is asked often.
+// anyLags reports whether any node lags. It is called often and
+// avoids building that list.
 func (w *world) anyLags() bool {
 	lags := func(n *node) bool { return n.inForce != w.current }
 	return slices.ContainsFunc(w.entries, lags) || slices.ContainsFunc(w.agents, lags)
 }
 
-// event is something that happens at a time; seq orders those of one time.
+// event is a scheduled call; seq orders events of the same time.
 type event struct {
 	at  time.Time
 	seq int
 	do  func()
 }
 
+// events is a priority queue of events, ordered by time.
 type events struct {
 	list []event
 	seq  int
@@ -371,7 +375,7 @@
 	heap.Push(&w.queue, event{at: w.now.Add(d), seq: w.queue.seq, do: do})
 }
 
-// run lets time pass.
+// run advances the virtual time and executes the events that are due.
 func (w *world) run(d time.Duration) {
 	end := w.now.Add(d)
 	for w.queue.Len() > 0 && !w.queue.list[0].at.After(end) {
@@ -382,12 +386,12 @@
 	w.now = end
 }
 
-// runUntilInForce lets time pass until the accepted version is in force
-// everywhere and returns how long that took, at most the limit.
+// runUntilInForce advances the virtual time until the accepted version is in force
+// everywhere or the limit is reached, and returns the time that passed.
 func (w *world) runUntilInForce(limit time.Duration) time.Duration {
-	begun := w.now
-	for w.anyLags() && w.now.Sub(begun) < limit {
+	start := w.now
+	for w.anyLags() && w.now.Sub(start) < limit {
 		w.run(10 * time.Millisecond)
 	}
-	return w.now.Sub(begun)
+	return w.now.Sub(start)
 }
