--- a/internal/connector/buffer.go
+++ b/internal/connector/buffer.go
@@ -5,23 +5,23 @@
 	"sync"
 )
 
-// keepBytes is the largest buffer that is kept between messages. The value is
-// chosen.
-const keepBytes = 64 << 10
+// maxPooledBytes is the capacity above which a buffer is not returned to the pool.
+const maxPooledBytes = 64 << 10
 
-// buffers has the buffers of messages; connections do not keep one each.
-var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+// bufferPool holds the buffers for messages. All connections share it, so that an idle
+// connection holds no buffer.
+var bufferPool = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// takeBuffer returns an empty buffer.
+// takeBuffer returns an empty buffer from the pool.
 func takeBuffer() *bytes.Buffer {
-	buf := buffers.Get().(*bytes.Buffer)
+	buf := bufferPool.Get().(*bytes.Buffer)
 	buf.Reset()
 	return buf
 }
 
-// returnBuffer gives a buffer back, whose bytes must not be used afterwards.
+// returnBuffer returns a buffer to the pool. Its bytes must not be used afterwards.
 func returnBuffer(buf *bytes.Buffer) {
-	if buf.Cap() <= keepBytes {
-		buffers.Put(buf)
+	if buf.Cap() <= maxPooledBytes {
+		bufferPool.Put(buf)
 	}
 }
--- a/internal/connector/conn.go
+++ b/internal/connector/conn.go
@@ -1,10 +1,10 @@
 // Package connector moves frames between two processes over a WebSocket.
 //
 // A [Conn] has a bounded queue of outgoing frames and a goroutine that writes them
-// while there are any: whatever has gathered while a write was under way goes out
-// as one message. A peer that reads too slowly fills the queue, and then its connection
-// is closed; nothing else waits for it. A peer that sends what cannot be decoded
-// or is too large loses its connection as well.
+// while there are any. Frames that are queued during a write are sent together as the
+// next message. If a peer reads too slowly, so that its queue is full, its connection is
+// closed; senders never block. A connection is also closed if the peer sends a message
+// that is too large or cannot be decoded.
 package connector
 
 import (
@@ -21,13 +21,13 @@
 )
 
 const (
-	queueFrames     = 4096
-	maxBatchBytes   = 1 << 20
-	writeTimeout    = 5 * time.Second
-	handshakeWindow = 5 * time.Second
+	queueFrames      = 4096
+	maxBatchBytes    = 1 << 20
+	writeTimeout     = 5 * time.Second
+	handshakeTimeout = 5 * time.Second
 )
 
-// Path is the HTTP path at which processes accept peers.
+// Path is the HTTP path at which processes accept connections of peers.
 const Path = "/v1/peer"
 
 // Counts are the totals of one connection or of a set of connections.
@@ -36,12 +36,12 @@
 	BytesSent    atomic.Uint64
 	MessagesRead atomic.Uint64
 	BytesRead    atomic.Uint64
-	// SentKinds has the messages and the bytes sent of each kind, indexed as
-	// [messenger.MessageKinds]. A frame's bytes count under its leading kind.
+	// SentKinds holds the messages and bytes sent of each kind, indexed like
+	// [messenger.MessageKinds]. A frame's bytes are counted under its leading kind.
 	SentKinds [len(messenger.MessageKinds)]KindCount
 }
 
-// KindCount has the totals of one kind of message.
+// KindCount holds the totals of one kind of message.
 type KindCount struct {
 	Messages atomic.Uint64
 	Bytes    atomic.Uint64
@@ -58,7 +58,7 @@
 	c.SentKinds[kinds.Leading()].Bytes.Add(uint64(size))
 }
 
-// Totals are the values of [Counts] at one moment.
+// Totals are a snapshot of [Counts].
 type Totals struct {
 	MessagesSent, BytesSent uint64
 	MessagesRead, BytesRead uint64
@@ -74,7 +74,7 @@
 	}
 }
 
-// Totals reads the counts.
+// Totals returns the current values of the counts.
 func (c *Counts) Totals() Totals {
 	return Totals{
 		MessagesSent: c.MessagesSent.Load(),
@@ -86,19 +86,19 @@
 
 // Conn is one connection to a peer.
 type Conn struct {
-	ws     *websocket.Conn
-	hello  messenger.Hello // hello is what the peer said first, but for the epochs; it does not change.
-	epochs []uint64        // epochs are those of the peer's hello until they are taken.
-	queue  *frameQueue
-	counts *Counts
-	ctx    context.Context
-	cancel context.CancelFunc
-	once   sync.Once
+	ws        *websocket.Conn
+	hello     messenger.Hello // hello is the peer's hello without the epochs; it does not change.
+	epochs    []uint64        // epochs are the epochs of the peer's hello, until TakeEpochs.
+	queue     *frameQueue
+	counts    *Counts
+	ctx       context.Context
+	cancel    context.CancelFunc
+	closeOnce sync.Once
 }
 
-// Options are what both sides of a connection need.
+// Options configure either side of a connection.
 type Options struct {
-	Hello  func() messenger.Hello // Hello returns the first message to the peer.
+	Hello  func() messenger.Hello // Hello returns the hello that is sent to the peer.
 	Counts *Counts                // Counts receives the totals; it must not be nil.
 	Client *http.Client           // Client is used by Dial; nil means the default client.
 }
@@ -107,7 +107,7 @@
 // of kind [KindDial] if the peer cannot be reached and [KindHandshake] if it
 // speaks another protocol.
 func Dial(ctx context.Context, url string, o Options) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, handshakeWindow)
+	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	ws, _, err := websocket.Dial(ctx, url, &websocket.DialOptions{
 		HTTPClient:      o.Client,
@@ -119,7 +119,8 @@
 	return handshake(ctx, ws, o)
 }
 
-// Accept upgrades a request to a connection. On error it has answered the request.
+// Accept upgrades an HTTP request to a connection. If it returns an error, it has
+// answered the request.
 func Accept(w http.ResponseWriter, r *http.Request, o Options) (*Conn, error) {
 	ws, err := websocket.Accept(smallBuffers{w}, r, &websocket.AcceptOptions{
 		CompressionMode: websocket.CompressionDisabled,
@@ -127,11 +128,13 @@
 	if err != nil {
 		return nil, &Error{Op: "accept", Kind: KindHandshake, Peer: r.RemoteAddr, Err: err}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), handshakeWindow)
+	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	defer cancel()
 	return handshake(ctx, ws, o)
 }
 
+// handshake exchanges hellos over a WebSocket and returns the connection. It closes the
+// WebSocket on error.
 func handshake(ctx context.Context, ws *websocket.Conn, o Options) (*Conn, error) {
 	ws.SetReadLimit(messenger.MaxMessageBytes)
 	hello := o.Hello()
@@ -154,6 +157,7 @@
 	}, nil
 }
 
+// exchangeHello sends the own hello and returns the peer's.
 func exchangeHello(ctx context.Context, ws *websocket.Conn, own *messenger.Hello, counts *Counts) (*messenger.Hello, error) {
 	const op = "handshake"
 	var buf bytes.Buffer
@@ -181,11 +185,11 @@
 	return peer, nil
 }
 
-// Hello returns what the peer said first, but for the epochs.
+// Hello returns the peer's hello without the epochs.
 func (c *Conn) Hello() messenger.Hello { return c.hello }
 
-// TakeEpochs returns the epochs of the peer's hello and drops them: they are its
-// largest part, and one use is enough.
+// TakeEpochs returns the epochs of the peer's hello and releases them. They are its
+// largest part, and callers need them only once.
 func (c *Conn) TakeEpochs() []uint64 {
 	epochs := c.epochs
 	c.epochs = nil
@@ -198,28 +202,28 @@
 	if c.ctx.Err() != nil {
 		return false
 	}
-	queued, idle := c.queue.push(f)
+	queued, startWriter := c.queue.push(f)
 	if !queued {
 		c.Close()
 		return false
 	}
-	if idle {
+	if startWriter {
 		go c.write()
 	}
 	return true
 }
 
-// Run passes each received frame to handle, until the connection ends. It returns
-// the cause.
+// Run passes each received frame to handle until the connection ends. It returns the
+// error that ended the connection.
 func (c *Conn) Run(handle func(*messenger.Frame)) error {
 	err := c.readLoop(handle)
 	c.Close()
 	return err
 }
 
-// Close ends the connection at once.
+// Close closes the connection immediately, without a closing handshake.
 func (c *Conn) Close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		c.cancel()
 		_ = c.ws.CloseNow()
 	})
@@ -233,11 +237,11 @@
 	}
 }
 
-// readMessage reads one message into a pooled buffer, of which decoded frames keep
-// nothing.
+// readMessage reads one message into a pooled buffer. Decoded frames hold no reference
+// to the buffer.
 func (c *Conn) readMessage(handle func(*messenger.Frame)) error {
 	const op = "read"
-	// Close ends the read; a context that could end as well would take memory.
+	// Close aborts the read. A cancellable context is not needed and would cost memory.
 	_, r, err := c.ws.Reader(context.Background())
 	if err != nil {
 		return &Error{Op: op, Kind: KindClosed, Peer: string(c.hello.Peer), Err: err}
@@ -255,22 +259,23 @@
 	return nil
 }
 
-// write writes what is queued and ends when nothing is left. There is at most one
-// writer a connection, and none while it is idle, so that the many connections of
-// an entry cost little memory.
+// write writes the queued frames and returns when the queue is empty. A connection has
+// at most one writer, and none while it is idle, so that the many connections of an
+// entry take little memory.
 func (c *Conn) write() {
 	for {
 		if err := c.writeBatch(); err != nil {
 			c.Close()
 			return
 		}
-		if c.queue.rest() {
+		if c.queue.stopIfEmpty() {
 			return
 		}
 	}
 }
 
-// writeBatch writes what is queued as one message, up to a size.
+// writeBatch writes queued frames as one message. It adds no further frame once the
+// message has reached maxBatchBytes.
 func (c *Conn) writeBatch() error {
 	buf := takeBuffer()
 	defer returnBuffer(buf)
--- a/internal/connector/error.go
+++ b/internal/connector/error.go
@@ -6,10 +6,10 @@
 	"github.com/juju/errors"
 )
 
-// Kind says what went wrong with a connection.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of errors of this package.
+// The kinds of errors.
 const (
 	KindDial      Kind = "dial"
 	KindHandshake Kind = "handshake"
@@ -24,7 +24,7 @@
 type Error struct {
 	Op   string // Op is the operation that failed.
 	Kind Kind   // Kind is one of the Kind constants.
-	Peer string // Peer names the other side, if known.
+	Peer string // Peer is the name or address of the peer, if known.
 	Err  error  // Err is the cause and is never nil.
 }
 
--- a/internal/connector/hijack.go
+++ b/internal/connector/hijack.go
@@ -8,13 +8,14 @@
 	"net/http"
 )
 
-// bufferBytes is the size of the read and of the write buffer of an accepted
-// connection. The HTTP server's have 4 KiB each, which 900 idle agents pay for. A
-// message beyond the size takes one more system call, without a copy. The value is
-// chosen: most messages of agents are below it.
+// bufferBytes is the size of the read buffer and of the write buffer of an accepted
+// connection. Most messages of agents are smaller; a larger one costs one more system
+// call, but no copy. The buffers of the HTTP server have 4 KiB each, which adds up over
+// 900 idle agents.
 const bufferBytes = 1024
 
-// smallBuffers is a response writer whose hijacked connection has small buffers.
+// smallBuffers is a response writer whose hijacked connection has buffers of
+// bufferBytes.
 type smallBuffers struct {
 	http.ResponseWriter
 }
@@ -33,8 +34,9 @@
 	return conn, bufio.NewReadWriter(reader, bufio.NewWriterSize(conn, bufferBytes)), nil
 }
 
-// smallReader returns a reader of the connection that has buffered what the given
-// one has, which the caller of Hijack looks for in the buffer.
+// smallReader returns a reader of the connection with a small buffer that holds the
+// bytes already buffered by the given reader. They must be in the buffer, because the
+// caller of Hijack takes them from there.
 func smallReader(large *bufio.Reader, conn io.Reader) (*bufio.Reader, error) {
 	buffered, err := large.Peek(large.Buffered())
 	if err != nil {
--- a/internal/connector/hijack_test.go
+++ b/internal/connector/hijack_test.go
@@ -10,8 +10,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestSmallReaderKeepsAhead checks that what came with the request of an upgrade is
-// buffered again, whatever its size, and that the connection follows.
+// TestSmallReaderKeepsAhead checks that bytes that arrived together with the upgrade
+// request are in the new buffer, whatever their number, and that the bytes of the
+// connection follow them.
 func TestSmallReaderKeepsAhead(t *testing.T) {
 	for _, size := range []int{0, 1, bufferBytes - 1, bufferBytes, bufferBytes + 1, 4 * bufferBytes} {
 		ahead, rest := bytes.Repeat([]byte{'a'}, size), strings.Repeat("r", 2*bufferBytes)
--- a/internal/connector/queue_test.go
+++ b/internal/connector/queue_test.go
@@ -15,27 +15,27 @@
 
 const testLimit = 5
 
-// queueModel is what a queue must do: a slice of what is queued, and whether a
-// writer runs.
+// queueModel is the reference model of a queue: a slice of the queued frames, and whether
+// a writer runs.
 type queueModel struct {
-	queue   *frameQueue
-	want    []uint64
-	next    uint64
-	writing bool
+	queue         *frameQueue
+	want          []uint64
+	next          uint64
+	writerRunning bool
 }
 
 func (m *queueModel) push(t *rapid.T) {
 	m.next++
-	took, idle := m.queue.push(&messenger.Frame{Contact: &messenger.Contact{Ping: m.next}})
-	if took != (len(m.want) < testLimit) {
-		t.Fatalf("push took %t with %d queued", took, len(m.want))
+	queued, startWriter := m.queue.push(&messenger.Frame{Contact: &messenger.Contact{Ping: m.next}})
+	if queued != (len(m.want) < testLimit) {
+		t.Fatalf("push reported queued = %t with %d frames queued", queued, len(m.want))
 	}
-	if idle != (took && !m.writing) {
-		t.Fatalf("a writer is started: %t, while one writes: %t", idle, m.writing)
+	if startWriter != (queued && !m.writerRunning) {
+		t.Fatalf("push reported startWriter = %t while a writer runs: %t", startWriter, m.writerRunning)
 	}
-	if took {
+	if queued {
 		m.want = append(m.want, m.next)
-		m.writing = true
+		m.writerRunning = true
 	}
 }
 
@@ -52,22 +52,22 @@
 	}
 }
 
-// rest is called by a running writer only.
-func (m *queueModel) rest(t *rapid.T) {
-	if !m.writing {
+// stopIfEmpty is called by a running writer only.
+func (m *queueModel) stopIfEmpty(t *rapid.T) {
+	if !m.writerRunning {
 		return
 	}
-	if rests := m.queue.rest(); rests != (len(m.want) == 0) {
-		t.Fatalf("the writer rests: %t, with %d queued", rests, len(m.want))
+	if stopped := m.queue.stopIfEmpty(); stopped != (len(m.want) == 0) {
+		t.Fatalf("stopIfEmpty reported %t with %d frames queued", stopped, len(m.want))
 	}
-	m.writing = len(m.want) > 0
+	m.writerRunning = len(m.want) > 0
 }
 
-// TestFrameQueue compares the queue with its model: a writer is started exactly
-// when there is none and rests exactly when nothing is left.
+// TestFrameQueue compares the queue with its model: a writer must be started if and only
+// if none runs, and stop if and only if the queue is empty.
 func TestFrameQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &queueModel{queue: newFrameQueue(testLimit)}
-		t.Repeat(map[string]func(*rapid.T){"push": m.push, "pop": m.pop, "rest": m.rest})
+		t.Repeat(map[string]func(*rapid.T){"push": m.push, "pop": m.pop, "stopIfEmpty": m.stopIfEmpty})
 	})
 }
--- a/internal/messenger/frame.go
+++ b/internal/messenger/frame.go
@@ -116,8 +116,8 @@
 	// RequestKey and Digest are stored in the agent's record, where a new owner reads them.
 	RequestKey string `cbor:"8,keyasint,omitempty"`
 	Digest     uint64 `cbor:"9,keyasint,omitempty"`
-	// RemainingWork is the expected slot time of the job's unfinished tasks, over all
-	// slots. Starts that wait at the agent run in ascending order of it.
+	// RemainingWork is the expected time to finish the job's remaining tasks on all slots.
+	// Starts that wait at the agent run in ascending order of it.
 	RemainingWork time.Duration `cbor:"10,keyasint,omitempty"`
 }
 
