--- a/internal/versioner/change.go
+++ b/internal/versioner/change.go
@@ -17,45 +17,47 @@
 
 const retryPause = 250 * time.Millisecond
 
-// Change asks for a new version.
+// Change is a request for a new version.
 type Change struct {
-	// ID names the change. A change that is asked for again under the same id and
-	// Expect is accepted at most once.
+	// ID identifies the change. A change that is requested repeatedly with the same ID and
+	// ExpectVersion is accepted at most once.
 	ID string
-	// Expect is the version that the operator has seen; 0 if there is none yet.
+	// ExpectVersion is the version that the operator expects to be current; 0 if there is
+	// none yet.
 	ExpectVersion uint64
 	Operator      string
 	Comment       string
-	// RollbackTo is the version whose content this one has again, or 0.
+	// RollbackTo is the version whose content the change restores, or 0.
 	RollbackTo uint64
-	// Content has the texts of the new version; its head is ignored.
+	// Content holds the texts of the new version; its head is ignored.
 	Content configurer.Version
-	// Puts are written in the transaction that makes the version.
+	// Puts are further rows, written in the transaction that creates the version.
 	Puts []storer.Put
-	// Repeated is set if an earlier run may have asked for the same change.
+	// Repeated is set if the same change may have been requested before, by an earlier run
+	// of the command.
 	Repeated bool
 }
 
-// Verdict says what became of a change.
+// Verdict is the outcome of a change.
 type Verdict string
 
-// The verdicts. Accepted and refused are said with proof only.
+// The verdicts. Accepted and refused are reported only if they are certain.
 const (
-	VerdictAccepted Verdict = "accepted" // The change is a version.
-	VerdictRefused  Verdict = "refused"  // The change is no version and will not become one.
-	VerdictUnknown  Verdict = "unknown"  // The change may be a version or become one.
+	VerdictAccepted Verdict = "accepted" // The change has become a version.
+	VerdictRefused  Verdict = "refused"  // The change has not become a version and will not become one.
+	VerdictUnknown  Verdict = "unknown"  // The change may have become a version, or may still become one.
 )
 
-// Reason says why a change was not accepted.
+// Reason is the reason why a change was not accepted.
 type Reason string
 
 // The reasons.
 const (
-	ReasonConflict    Reason = "conflict"    // Another version is current than the operator has seen.
+	ReasonConflict    Reason = "conflict"    // The current version is not the expected one.
 	ReasonUnavailable Reason = "unavailable" // The platform did not answer in time.
 )
 
-// Result is what became of a change.
+// Result is the outcome of a change.
 type Result struct {
 	Verdict Verdict `json:"verdict"`
 	Reason  Reason  `json:"reason,omitempty"`
@@ -65,33 +67,33 @@
 	Expected uint64 `json:"expected-version"`
 	// Current is the current version at the time of a conflict.
 	Current uint64 `json:"current-version,omitempty"`
-	// Detail is for the operator.
+	// Detail is an explanation for the operator.
 	Detail string `json:"detail,omitempty"`
 }
 
-// NewChangeID returns an id for a change, of the configuration or any other. Later
-// ones sort after earlier ones.
+// NewChangeID returns an id for a change of the configuration or of anything else. Later
+// ids sort after earlier ones.
 func NewChangeID() string { return uuid.Must(uuid.NewV7()).String() }
 
-// attempt is one change under way.
+// attempt is the state of a change that is being applied.
 type attempt struct {
 	change Change
-	// wrote is set once a write may have reached the platform.
-	wrote bool
-	// transaction is made once, so that each try of it is the same.
+	// mayHaveWritten is set once a write may have reached the platform.
+	mayHaveWritten bool
+	// transaction is built once, so that every retry sends the same one.
 	transaction *storer.Transaction
 }
 
-// Apply makes a change, and asks again until it knows what became of it or the
-// context ends. The error is not nil only if the change cannot be asked for.
+// Apply requests a change and retries until the outcome is known or the context ends. It
+// returns an error only if the request itself is invalid.
 func (r *Versioner) Apply(ctx context.Context, c Change) (Result, error) {
 	if c.ID == "" {
 		return Result{}, &Error{Op: "apply", Kind: KindInvalid, Err: errors.New("the change has no id")}
 	}
-	a := &attempt{change: c, wrote: c.Repeated}
+	a := &attempt{change: c, mayHaveWritten: c.Repeated}
 	var last error
 	for {
-		result, done, err := r.try(ctx, a)
+		result, done, err := r.tryOnce(ctx, a)
 		if done {
 			return result, err
 		}
@@ -100,14 +102,14 @@
 			r.Pause(ctx, retryPause)
 		}
 		if ctx.Err() != nil {
-			return a.undecided(last), nil
+			return a.timedOut(last), nil
 		}
 	}
 }
 
-// try makes one try and reports whether the outcome is known. The error of a try
-// that leaves it open is why.
-func (r *Versioner) try(ctx context.Context, a *attempt) (Result, bool, error) {
+// tryOnce makes one attempt and reports whether the outcome is known. If it is not, the
+// error is the reason.
+func (r *Versioner) tryOnce(ctx context.Context, a *attempt) (Result, bool, error) {
 	head, revision, err := r.current(ctx)
 	if err != nil {
 		return Result{}, false, err
@@ -115,10 +117,10 @@
 	if head.Number != a.change.ExpectVersion {
 		return r.resolve(ctx, a, head)
 	}
-	if err := r.prepare(ctx, a, revision); err != nil {
+	if err := r.buildTransaction(ctx, a, revision); err != nil {
 		return Result{}, true, err
 	}
-	a.wrote = true
+	a.mayHaveWritten = true
 	outcome, err := r.Write(ctx, *a.transaction)
 	if err != nil {
 		return Result{}, false, err
@@ -129,7 +131,9 @@
 	return Result{}, false, errors.New("the current row changed during the write")
 }
 
-// resolve decides a change that expects another version than the current one.
+// resolve determines the outcome of a change whose expected version is not current. If
+// the version after the expected one carries the change's id, an earlier attempt was
+// accepted.
 func (r *Versioner) resolve(ctx context.Context, a *attempt, current configurer.Head) (Result, bool, error) {
 	if current.Number < a.change.ExpectVersion {
 		return a.conflict(current), true, nil
@@ -152,8 +156,8 @@
 	return a.accepted(), true, nil
 }
 
-// prepare makes the transaction of the change.
-func (r *Versioner) prepare(ctx context.Context, a *attempt, revision uint64) error {
+// buildTransaction builds the transaction of the change, unless an earlier attempt did.
+func (r *Versioner) buildTransaction(ctx context.Context, a *attempt, revision uint64) error {
 	if a.transaction != nil {
 		return nil
 	}
@@ -182,8 +186,9 @@
 	return nil
 }
 
-// archive stores the versions that leave the table with the new one as objects
-// and returns the rows to delete. What cannot be stored stays in the table.
+// archive stores as objects the versions that exceed [KeptVersions] once the version with
+// the given number is accepted, and returns their rows, which are to be deleted. A
+// version that cannot be stored as an object stays in the table.
 func (r *Versioner) archive(ctx context.Context, number uint64) []string {
 	heads, err := r.tableHistory(ctx)
 	if err != nil {
@@ -205,11 +210,11 @@
 	return deletes
 }
 
-// digest identifies the content of a version, without its head.
+// digest returns a hash of the content of a version, without its head.
 func digest(v *configurer.Version) string {
 	d := xxhash.New()
 	enc := json.NewEncoder(d)
-	// Neither strings nor a hash can fail to be written.
+	// Encoding strings and writing to a hash cannot fail.
 	_ = enc.Encode(v.Base)
 	_ = enc.Encode(v.Overlays)
 	return strconv.FormatUint(d.Sum64(), 16)
@@ -233,13 +238,13 @@
 	return out
 }
 
-// undecided returns the result of a change whose time is over. Without a write
-// nothing can have come of it.
-func (a *attempt) undecided(cause error) Result {
+// timedOut returns the result of a change whose context has ended. The change is refused
+// if no write was sent, and its outcome is unknown otherwise.
+func (a *attempt) timedOut(cause error) Result {
 	out := a.result(VerdictUnknown)
 	out.Reason = ReasonUnavailable
 	out.Detail = "the platform did not say what became of the change"
-	if !a.wrote {
+	if !a.mayHaveWritten {
 		out.Verdict = VerdictRefused
 		out.Detail = "the platform did not answer; nothing was written"
 	}
--- a/internal/versioner/error.go
+++ b/internal/versioner/error.go
@@ -6,21 +6,21 @@
 	"github.com/juju/errors"
 )
 
-// Kind says what went wrong with a version.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of errors of this package.
+// The kinds of errors.
 const (
-	KindAbsent      Kind = "absent"      // There is no such version.
+	KindAbsent      Kind = "absent"      // The version does not exist.
 	KindUnavailable Kind = "unavailable" // The platform did not answer.
-	KindInvalid     Kind = "invalid"     // The change cannot be asked for.
+	KindInvalid     Kind = "invalid"     // The request for the change is invalid.
 )
 
 // Error is the error type of this package.
 type Error struct {
 	Op     string // Op is the operation that failed.
 	Kind   Kind   // Kind is one of the Kind constants.
-	Number uint64 // Number is the version at fault, or 0.
+	Number uint64 // Number is the version concerned, or 0.
 	Err    error  // Err is the cause and is never nil.
 }
 
--- a/internal/versioner/report.go
+++ b/internal/versioner/report.go
@@ -6,16 +6,17 @@
 	"sardinelock.dev/sardinelock/internal/configurer"
 )
 
-// Report is what became of a change, for operators.
+// Report describes the outcome of a change for operators.
 type Report struct {
 	Result
-	// Differences are what has changed since the expected version, after a conflict.
+	// Differences are, after a conflict, the changes since the expected version.
 	Differences []configurer.Difference `json:"differences,omitempty"`
-	// Fault says why there are no differences.
+	// Fault is the reason why Differences could not be computed, or empty.
 	Fault string `json:"fault,omitempty"`
 }
 
-// Report adds to the result of a conflict what others have changed.
+// Report returns a report of the result. For a conflict it includes the changes that
+// other operators have made since the expected version.
 func (r *Versioner) Report(ctx context.Context, result Result) Report {
 	out := Report{Result: result}
 	if result.Reason != ReasonConflict {
@@ -33,7 +34,8 @@
 	return out
 }
 
-// differences compares two accepted versions; 0 is before the first.
+// differences compares two accepted versions. Number 0 stands for an empty configuration
+// before the first version.
 func (r *Versioner) differences(ctx context.Context, from, to uint64) ([]configurer.Difference, error) {
 	before, err := r.versionOrNone(ctx, from)
 	if err != nil {
@@ -46,6 +48,7 @@
 	return configurer.Differences(before, after)
 }
 
+// versionOrNone returns a version, or nil for number 0.
 func (r *Versioner) versionOrNone(ctx context.Context, number uint64) (*configurer.Version, error) {
 	if number == 0 {
 		return nil, nil
--- a/internal/versioner/versioner.go
+++ b/internal/versioner/versioner.go
@@ -1,17 +1,16 @@
-// Package versioner keeps the accepted versions of the operators' configuration
-// in the platform's services.
+// Package versioner stores the accepted versions of the operators' configuration in the
+// platform's table and object store.
 //
 // The row [configurer.CurrentKey] holds the head of the current version. Each
-// version has a history row with its head and a row with the whole document. The
-// latest [KeptVersions] are in the table; before a change deletes the rows of an
-// older version it stores the document as an object of the same key, so that no
-// accepted version is ever lost.
+// version has a history row with its head and a row with the whole document. The table
+// holds the latest [KeptVersions]. Before a change deletes the rows of an older version,
+// it stores the document as an object with the same key, so that no accepted version is
+// ever lost.
 //
-// A change is one transaction on the condition that the current row has the
-// revision at which it was read with the number the operator has seen. So a
-// change that expects version n can only become version n+1, and whoever has that
-// number decides what became of it: this is how a write whose answer was lost is
-// resolved.
+// A change is one transaction. Its condition is that the current row still has the
+// revision at which it was read with the expected version number. A change that expects
+// version n can therefore only become version n+1. If the answer of a write is lost, the
+// change id of version n+1 tells whether the change was accepted.
 package versioner
 
 import (
@@ -26,7 +25,7 @@
 	"sardinelock.dev/sardinelock/internal/storer"
 )
 
-// KeptVersions is the number of versions that stay in the table.
+// KeptVersions is the number of versions that are kept in the table.
 const KeptVersions = 64
 
 // Versioner reads and writes versions.
@@ -36,7 +35,7 @@
 	Write     func(ctx context.Context, t storer.Transaction) (storer.Outcome, error)
 	PutObject func(ctx context.Context, key string, body []byte) error
 	Object    func(ctx context.Context, key string) ([]byte, error)
-	// Now and Pause are the clock; tests replace them.
+	// Now and Pause read the clock and sleep; tests replace them.
 	Now   func() time.Time
 	Pause func(ctx context.Context, d time.Duration)
 }
@@ -54,11 +53,11 @@
 }
 
 // Current returns the head of the current version. The error is of kind
-// [KindAbsent] if no version was accepted yet.
+// [KindAbsent] if no version has been accepted yet.
 func (r *Versioner) Current(ctx context.Context) (configurer.Head, error) {
 	head, _, err := r.current(ctx)
 	if err == nil && head.Number == 0 {
-		err = &Error{Op: "current", Kind: KindAbsent, Err: errors.New("no version was accepted yet")}
+		err = &Error{Op: "current", Kind: KindAbsent, Err: errors.New("no version has been accepted yet")}
 	}
 	return head, err
 }
@@ -124,7 +123,7 @@
 	return heads, nil
 }
 
-// row returns the row of exactly this key.
+// row returns the row with exactly this key.
 func (r *Versioner) row(ctx context.Context, key string) (storer.Row, bool, error) {
 	rows, err := r.Read(ctx, key)
 	if err != nil {
@@ -138,7 +137,7 @@
 	return storer.Row{}, false, nil
 }
 
-// readError returns the error of a read of the platform.
+// readError converts an error of a read of the platform.
 func readError(op string, number uint64, err error) error {
 	kind := KindUnavailable
 	if storer.KindOf(err) == storer.KindAbsent {
--- a/internal/versioner/versioner_test.go
+++ b/internal/versioner/versioner_test.go
@@ -25,23 +25,23 @@
 
 var errLost = &storer.Error{Op: "test", Kind: storer.KindUnavailable, Err: errors.New("lost")}
 
-// faults says how often calls of the platform go wrong.
+// faults configures how calls of the platform fail.
 type faults struct {
-	refuseRatio float64 // The call does not reach the platform.
-	loseRatio   float64 // The call takes effect and its answer is lost.
-	lateRatio   float64 // A write that seemed lost takes effect later.
-	forget      bool    // The platform does not recognise a repeated request.
+	refuseRatio    float64 // The call does not reach the platform.
+	loseRatio      float64 // The call takes effect and its answer is lost.
+	lateRatio      float64 // The answer of a write is lost, and the write takes effect later.
+	forgetRequests bool    // The platform does not recognise a repeated request.
 }
 
-// line is one operator's connection to the platform.
-type line struct {
+// operatorConn is one operator's connection to the platform, with fault injection.
+type operatorConn struct {
 	platform *emulator.Platform
 	random   *rand.Rand
 	faults   faults
 	late     *sync.WaitGroup
 }
 
-func (l *line) versioner() *Versioner {
+func (l *operatorConn) versioner() *Versioner {
 	return &Versioner{
 		Read:  l.read,
 		Write: l.write,
@@ -55,9 +55,11 @@
 	}
 }
 
-func (l *line) wait() { time.Sleep(time.Duration(1 + l.random.Int64N(int64(300*time.Millisecond)))) }
+func (l *operatorConn) wait() {
+	time.Sleep(time.Duration(1 + l.random.Int64N(int64(300*time.Millisecond))))
+}
 
-func (l *line) read(_ context.Context, prefix string) (storer.Range, error) {
+func (l *operatorConn) read(_ context.Context, prefix string) (storer.Range, error) {
 	l.wait()
 	if l.random.Float64() < l.faults.refuseRatio {
 		return storer.Range{}, errLost
@@ -67,9 +69,9 @@
 	return out, nil
 }
 
-func (l *line) write(_ context.Context, t storer.Transaction) (storer.Outcome, error) {
+func (l *operatorConn) write(_ context.Context, t storer.Transaction) (storer.Outcome, error) {
 	l.wait()
-	if l.faults.forget {
+	if l.faults.forgetRequests {
 		t.RequestID += fmt.Sprint(l.random.Uint64())
 	}
 	if l.random.Float64() < l.faults.refuseRatio {
@@ -91,8 +93,8 @@
 	return out, nil
 }
 
-// asked is a change and what its operator was told.
-type asked struct {
+// submittedChange is a change with the result that its operator received.
+type submittedChange struct {
 	change Change
 	result Result
 }
@@ -101,28 +103,28 @@
 	return configurer.Version{Base: "services: [] # " + text}
 }
 
-// race lets operators change the configuration at the same time and returns what
-// each was told. It runs within a bubble of virtual time.
-func race(platform *emulator.Platform, seed uint64, operators, changes int, f faults) []asked {
+// race runs operators that change the configuration concurrently, and returns their
+// changes with the results. It must run in a synctest bubble.
+func race(platform *emulator.Platform, seed uint64, operators, changes int, f faults) []submittedChange {
 	var (
 		late, wg sync.WaitGroup
-		out      = make([][]asked, operators)
+		out      = make([][]submittedChange, operators)
 	)
 	for i := range operators {
-		l := &line{platform: platform, random: rand.New(rand.NewPCG(seed, uint64(i))), faults: f, late: &late}
+		l := &operatorConn{platform: platform, random: rand.New(rand.NewPCG(seed, uint64(i))), faults: f, late: &late}
 		wg.Go(func() { out[i] = operate(l, i, changes) })
 	}
 	wg.Wait()
 	late.Wait()
-	var all []asked
+	var all []submittedChange
 	for _, list := range out {
 		all = append(all, list...)
 	}
 	return all
 }
 
-func operate(l *line, operator, changes int) []asked {
-	var out []asked
+func operate(l *operatorConn, operator, changes int) []submittedChange {
+	var out []submittedChange
 	r := l.versioner()
 	for n := range changes {
 		head, err := r.Current(context.Background())
@@ -136,14 +138,14 @@
 		if err != nil {
 			panic(err)
 		}
-		out = append(out, asked{c, result})
+		out = append(out, submittedChange{c, result})
 		l.wait()
 	}
 	return out
 }
 
-// verify holds what operators were told against the versions that there are.
-func verify(platform *emulator.Platform, all []asked) error {
+// verify checks the results that operators received against the stored versions.
+func verify(platform *emulator.Platform, all []submittedChange) error {
 	accepted := make(map[string]uint64)
 	for i, row := range platform.Read(configurer.HistoryPrefix).Rows {
 		head, err := configurer.DecodeHead(row.Value)
@@ -153,7 +155,7 @@
 		if head.Number != uint64(i+1) {
 			return errors.Errorf("version %d is in place %d", head.Number, i+1)
 		}
-		if other, twice := accepted[head.ChangeID]; twice {
+		if other, duplicate := accepted[head.ChangeID]; duplicate {
 			return errors.Errorf("change %s is version %d and %d", head.ChangeID, other, head.Number)
 		}
 		accepted[head.ChangeID] = head.Number
@@ -174,21 +176,21 @@
 	return nil
 }
 
-// TestRacingOperators checks that what an operator is told is true, whatever is
-// lost, late or raced.
+// TestRacingOperators checks that the results of changes are true, even if calls are
+// lost, writes take effect late, or operators race.
 func TestRacingOperators(t *testing.T) {
 	verdicts := make(map[Verdict]int)
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		f := faults{
-			refuseRatio: rapid.Float64Range(0, 0.5).Draw(rt, "refuse"),
-			loseRatio:   rapid.Float64Range(0, 0.5).Draw(rt, "lose"),
-			lateRatio:   rapid.Float64Range(0, 0.5).Draw(rt, "late"),
-			forget:      rapid.Bool().Draw(rt, "forget"),
+			refuseRatio:    rapid.Float64Range(0, 0.5).Draw(rt, "refuse"),
+			loseRatio:      rapid.Float64Range(0, 0.5).Draw(rt, "lose"),
+			lateRatio:      rapid.Float64Range(0, 0.5).Draw(rt, "late"),
+			forgetRequests: rapid.Bool().Draw(rt, "forget"),
 		}
 		operators := rapid.IntRange(1, 4).Draw(rt, "operators")
 		platform := emulator.NewPlatform(seed, emulator.Faults{})
-		var all []asked
+		var all []submittedChange
 		synctest.Test(t, func(*testing.T) { all = race(platform, seed, operators, 5, f) })
 		for _, a := range all {
 			verdicts[a.result.Verdict]++
@@ -199,24 +201,25 @@
 	})
 	for _, v := range []Verdict{VerdictAccepted, VerdictRefused, VerdictUnknown} {
 		if verdicts[v] == 0 {
-			t.Errorf("no change was %s, so that the test shows nothing about it", v)
+			t.Errorf("no change was %s; the test does not cover this verdict", v)
 		}
 	}
 	t.Logf("verdicts: %v", verdicts)
 }
 
-// TestLostAnswers asks again under the same change id until the outcome is known.
+// TestLostAnswers checks that a change whose outcome is unknown, because answers were
+// lost, is resolved by repeating it with the same change id.
 func TestLostAnswers(t *testing.T) {
 	for seed := range uint64(50) {
 		platform := emulator.NewPlatform(seed, emulator.Faults{})
-		var all []asked
+		var all []submittedChange
 		synctest.Test(t, func(*testing.T) {
 			all = race(platform, seed, 3, 4, faults{loseRatio: 0.6, lateRatio: 0.3})
 			for i, a := range all {
 				if a.result.Verdict != VerdictUnknown {
 					continue
 				}
-				l := &line{platform: platform, random: rand.New(rand.NewPCG(seed, 99)), late: new(sync.WaitGroup)}
+				l := &operatorConn{platform: platform, random: rand.New(rand.NewPCG(seed, 99)), late: new(sync.WaitGroup)}
 				a.change.Repeated = true
 				result, err := l.versioner().Apply(context.Background(), a.change)
 				if err != nil {
@@ -225,7 +228,7 @@
 				if result.Verdict == VerdictUnknown {
 					t.Errorf("seed %d: %s is unknown although every answer arrives", seed, a.change.ID)
 				}
-				all[i] = asked{a.change, result}
+				all[i] = submittedChange{a.change, result}
 			}
 		})
 		if err := verify(platform, all); err != nil {
@@ -234,10 +237,10 @@
 	}
 }
 
-// TestChangeIDOfAnother checks that an id is not taken for another content.
+// TestChangeIDOfAnother checks that a change id cannot be reused with other content.
 func TestChangeIDOfAnother(t *testing.T) {
 	platform := emulator.NewPlatform(1, emulator.Faults{})
-	r := quietVersioner(platform)
+	r := faultlessVersioner(platform)
 	if _, err := r.Apply(t.Context(), Change{ID: "a", Content: content("one")}); err != nil {
 		t.Fatal(err)
 	}
@@ -247,20 +250,20 @@
 	}
 }
 
-// TestHistoryIsBounded checks that the table keeps the latest versions, that the
-// older ones are objects, and that none is lost while objects cannot be stored.
+// TestHistoryIsBounded checks that the table keeps the latest versions, that older ones
+// are moved to objects, and that none is lost while objects cannot be stored.
 func TestHistoryIsBounded(t *testing.T) {
 	const outage = 10
 	platform := emulator.NewPlatform(1, emulator.Faults{})
-	r := quietVersioner(platform)
+	r := faultlessVersioner(platform)
 	put := r.PutObject
-	grow(t, r, 0, KeptVersions)
+	applyChanges(t, r, 0, KeptVersions)
 	r.PutObject = func(context.Context, string, []byte) error { return errLost }
-	grow(t, r, KeptVersions, KeptVersions+outage)
+	applyChanges(t, r, KeptVersions, KeptVersions+outage)
 	countRows(t, platform, KeptVersions+outage)
 	r.PutObject = put
 	const changes = KeptVersions + outage + 1
-	grow(t, r, KeptVersions+outage, changes)
+	applyChanges(t, r, KeptVersions+outage, changes)
 	countRows(t, platform, KeptVersions)
 
 	heads, err := r.History(t.Context(), changes+1)
@@ -286,8 +289,8 @@
 	}
 }
 
-// grow makes the changes after version from up to version to.
-func grow(t *testing.T, r *Versioner, from, to uint64) {
+// applyChanges applies changes on top of version from, up to version to.
+func applyChanges(t *testing.T, r *Versioner, from, to uint64) {
 	t.Helper()
 	for n := from; n < to; n++ {
 		result, err := r.Apply(t.Context(), Change{ID: fmt.Sprint("c", n), ExpectVersion: n, Content: content(fmt.Sprint(n))})
@@ -306,8 +309,8 @@
 	}
 }
 
-// quietVersioner calls a platform that does nothing wrong.
-func quietVersioner(platform *emulator.Platform) *Versioner {
+// faultlessVersioner returns a versioner whose calls of the platform never fail.
+func faultlessVersioner(platform *emulator.Platform) *Versioner {
 	objects := make(map[string][]byte)
 	return &Versioner{
 		Read:  func(_ context.Context, prefix string) (storer.Range, error) { return platform.Read(prefix), nil },
