--- a/internal/configurer/agent.go
+++ b/internal/configurer/agent.go
@@ -4,12 +4,12 @@
 
 // AgentSettings is the part of a configuration that an agent applies.
 type AgentSettings struct {
-	// WaitingPerAgent bounds the tasks that wait at the agent. It is positive.
+	// WaitingPerAgent is the maximum number of tasks that wait at the agent. It is positive.
 	WaitingPerAgent int `json:"waiting-per-agent"`
 }
 
-// EncodeAgentSettings returns what an agent at the site of this configuration
-// needs.
+// EncodeAgentSettings returns the encoded settings of the agents at the site of this
+// configuration.
 func (c *Config) EncodeAgentSettings() ([]byte, error) {
 	text, err := json.Marshal(AgentSettings{WaitingPerAgent: c.Limits.WaitingPerAgent})
 	if err != nil {
@@ -18,8 +18,8 @@
 	return text, nil
 }
 
-// DecodeAgentSettings reads what an entry has sent. What the entry does not say
-// has its default.
+// DecodeAgentSettings decodes settings that an entry has sent. Absent settings have their
+// default.
 func DecodeAgentSettings(text []byte) (AgentSettings, error) {
 	s := AgentSettings{WaitingPerAgent: Default().Limits.WaitingPerAgent}
 	if err := json.Unmarshal(text, &s); err != nil {
--- a/internal/configurer/bench_test.go
+++ b/internal/configurer/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// planned returns a base of the size that is planned for: 130 teams.
-func planned() []byte {
+// plannedSizeBase returns a base of the planned size of 130 teams.
+func plannedSizeBase() []byte {
 	var b strings.Builder
 	b.WriteString("services:\n")
 	for i := range 12 {
@@ -25,7 +25,7 @@
 }
 
 func BenchmarkParse(b *testing.B) {
-	base := planned()
+	base := plannedSizeBase()
 	b.SetBytes(int64(len(base)))
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/configurer/compose.go
+++ b/internal/configurer/compose.go
@@ -12,19 +12,19 @@
 	"github.com/juju/errors"
 )
 
-// Bounds of a file. The parser's time grows with the square of the keys of one
-// mapping.
+// Limits on the size of a file. They bound the time of the parser, which is quadratic in
+// the number of keys of one mapping.
 const (
 	MaxFileBytes = 256 << 10
 	MaxFileLines = 10_000
 )
 
-// siteKey is the key by which an overlay names its site.
+// siteKey is the key of an overlay that holds the name of its site.
 const siteKey = "site"
 
 // File is a configuration file.
 type File struct {
-	Name string // Name stands for the file in errors and origins.
+	Name string // Name identifies the file in errors and origins.
 	Text []byte
 }
 
@@ -32,15 +32,16 @@
 type Value struct {
 	Path string `json:"path"`
 	Text string `json:"value"`
-	// Origin is the file that set the value; "default" if none did.
+	// Origin is the place in a file that set the value. Its File is "default" if no file
+	// did.
 	Origin Origin `json:"origin"`
 }
 
 // Effective is the configuration of one site with the origin of each value.
 type Effective struct {
 	Config
-	Site    string // Site is that of the overlay, or empty.
-	origins map[string]Origin
+	Site    string            // Site is the site of the overlay, or empty.
+	origins map[string]Origin // origins holds the origins of the values that files set, by path.
 }
 
 // Values returns all effective values in the order of the tables.
@@ -59,14 +60,15 @@
 	return out
 }
 
-// overlayFile is an overlay as it is read: its site and what it tunes.
+// overlayFile is the target of reading an overlay: its site, and the configuration that
+// it modifies.
 type overlayFile struct {
 	Config
 	site string
 }
 
-// Compose applies an overlay, which may be nil, to a base. The error is of type
-// *Error and has every fault of both files.
+// Compose applies an overlay, which may be nil, to a base. The error is of type *Error
+// and contains all faults of both files.
 func Compose(base File, overlay *File) (*Effective, error) {
 	e := &Effective{Config: Default(), origins: make(map[string]Origin)}
 	r := &reader{file: base.Name, origins: e.origins, hashes: make(map[string]string)}
@@ -81,7 +83,7 @@
 	return e, r.err()
 }
 
-// checkRelations checks what two values must be to each other.
+// checkRelations checks constraints between values.
 func (r *reader) checkRelations(c *Config) {
 	if c.Ejection.ProbeAfter <= c.Ejection.MaxProbeAfter {
 		return
@@ -98,8 +100,8 @@
 	})
 }
 
-// CheckAll checks a base with each overlay and returns the overlays' sites. The
-// error has every fault of all files; those of the base come once.
+// CheckAll checks a base with each overlay and returns the overlays' sites. The error
+// contains all faults of all files; faults of the base are listed once.
 func CheckAll(base File, overlays []File) (sites []string, err error) {
 	var faults []Fault
 	if _, err := Compose(base, nil); err != nil {
@@ -114,7 +116,7 @@
 			}
 		}
 		sites = append(sites, e.Site)
-		if other, twice := files[e.Site]; twice && e.Site != "" {
+		if other, duplicate := files[e.Site]; duplicate && e.Site != "" {
 			faults = append(faults, Fault{File: o.Name, Line: 1, Column: 1, Message: "the site " + strconv.Quote(e.Site) + " has the overlay " + other + " already"})
 		}
 		files[e.Site] = o.Name
@@ -125,6 +127,7 @@
 	return sites, nil
 }
 
+// faultsOf returns the faults of an error of this package, or nil for any other.
 func faultsOf(err error) []Fault {
 	var e *Error
 	if errors.As(err, &e) {
@@ -133,16 +136,16 @@
 	return nil
 }
 
-// applyOverlay reads an overlay onto the base.
+// applyOverlay reads an overlay and applies it to the configuration of the base.
 func (r *reader) applyOverlay(o File, e *Effective) {
 	root, ok := r.parse(o)
 	if !ok {
 		return
 	}
-	// The site is the one key that only overlays have.
+	// The site is the only key that is valid in overlays but not in the base.
 	fields := []field[overlayFile]{name(siteKey, func(f *overlayFile) *string { return &f.site })}
 	for _, f := range configFields {
-		fields = append(fields, lift(f))
+		fields = append(fields, overlayField(f))
 	}
 	tuned := overlayFile{Config: e.Config}
 	readMapping(r, root, "", fields, &tuned)
@@ -152,8 +155,8 @@
 	}
 }
 
-// lift makes a field of a configuration one of an overlay.
-func lift(f field[Config]) field[overlayFile] {
+// overlayField converts a field of a configuration to a field of an overlay.
+func overlayField(f field[Config]) field[overlayFile] {
 	return field[overlayFile]{key: f.key, tunable: f.tunable, read: func(r *reader, n ast.Node, path string, into *overlayFile) {
 		f.read(r, n, path, &into.Config)
 	}}
@@ -169,7 +172,7 @@
 		r.faults = append(r.faults, Fault{File: r.file, Line: MaxFileLines + 1, Column: 1, Message: "the file has too many lines"})
 		return nil, false
 	}
-	if line, column, deep := nesting(f.Text); deep {
+	if line, column, deep := findDeepNesting(f.Text); deep {
 		r.faults = append(r.faults, Fault{File: r.file, Line: line, Column: column, Message: "the nesting is too deep"})
 		return nil, false
 	}
@@ -189,6 +192,7 @@
 	return tree.Docs[0].Body, true
 }
 
+// syntaxFault records an error of the parser, with its position if it is known.
 func (r *reader) syntaxFault(err error) {
 	var syntax *yaml.SyntaxError
 	if errors.As(err, &syntax) && syntax.Token != nil && syntax.Token.Position != nil {
@@ -200,7 +204,7 @@
 	r.fault(nil, "%s", first)
 }
 
-// err returns all faults as one error, or nil if there are none.
+// err returns all recorded faults as one error, or nil if there are none.
 func (r *reader) err() error {
 	if len(r.faults) == 0 {
 		return nil
@@ -209,8 +213,8 @@
 	return &Error{Op: "compose", Kind: KindInvalid, Faults: r.faults}
 }
 
-// sortFaults puts the faults of each file in the order of its lines and leaves
-// the order of the files, each of whose faults are together.
+// sortFaults sorts the faults of each file by line and column. The faults of one file
+// must be adjacent; the order of the files is kept.
 func sortFaults(faults []Fault) {
 	slices.SortStableFunc(faults, func(a, b Fault) int {
 		if a.File != b.File {
@@ -220,16 +224,16 @@
 	})
 }
 
-// The bounds of nesting. A configuration needs four levels; the parser's use of
-// stack grows with the depth.
+// Limits on nesting. The parser's stack grows with the depth; a configuration needs four
+// levels.
 const (
 	maxFlowDepth   = 32
 	maxIndentBytes = 64
 )
 
-// nesting reports where a text nests deeper than any configuration does. It
-// counts brackets and leading spaces and markers, also within quotes.
-func nesting(text []byte) (line, column int, deep bool) {
+// findDeepNesting returns the position at which a text exceeds the limits on nesting. It
+// counts brackets, leading spaces and leading markers, even within quotes.
+func findDeepNesting(text []byte) (line, column int, tooDeep bool) {
 	line, column = 1, 0
 	depth, indent, leading := 0, 0, true
 	for _, c := range text {
--- a/internal/configurer/config_test.go
+++ b/internal/configurer/config_test.go
@@ -10,7 +10,7 @@
 	"github.com/juju/errors"
 )
 
-// TestBounds refuses files that would take long to parse.
+// TestBounds checks that files that would take long to parse are rejected.
 func TestBounds(t *testing.T) {
 	cases := []struct{ name, text, want string }{
 		{"bytes", "#" + strings.Repeat("x", MaxFileBytes), "f:1:1: the file is larger than 262144 bytes"},
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestCaps refuses what the system cannot carry.
+// TestCaps checks that values above the limits of the system are rejected.
 func TestCaps(t *testing.T) {
 	_, err := Parse("f", []byte("services: [{name: a, path: /a, timeout: 1h, objective: {latency: 1s, latency-ratio: 1, success-ratio: 1}}]\nlimits:\n  max-body-bytes: 33554433\n  max-deadline: 11m\n"))
 	want := "the configuration is not valid:\nf:1:41: must be at most 10m\nf:3:19: must be at most 33554432\nf:4:17: must be at most 10m"
@@ -40,7 +40,8 @@
 	}
 }
 
-// TestTokenOfTwo refuses a token that could stand for two teams or operators.
+// TestTokenOfTwo checks that a token hash that belongs to both a team and an operator is
+// rejected.
 func TestTokenOfTwo(t *testing.T) {
 	hash := strings.Repeat("ab", 32)
 	base := "services: []\nteams:\n  - name: a\n    token-hashes: [" + hash + "]\n" +
@@ -52,7 +53,7 @@
 	}
 }
 
-// TestExamples checks the examples and that they compose for every site.
+// TestExamples checks that the examples are valid with the overlays of all sites.
 func TestExamples(t *testing.T) {
 	users := []struct {
 		name  string
@@ -87,8 +88,8 @@
 	return File{Name: name, Text: text}
 }
 
-// TestKeysAreDocumented checks that the page for operators has every key with
-// its values, its default and whether an overlay may set it.
+// TestKeysAreDocumented checks that the operators' documentation lists every key with its
+// values, its default and whether an overlay may set it.
 func TestKeysAreDocumented(t *testing.T) {
 	page := string(readFile(t, "../../docs/CONFIGURATION.md").Text)
 	for _, k := range Keys() {
@@ -109,7 +110,8 @@
 	return "| `" + k.Path + "` | " + k.Kind + " | " + values + " | " + overlay + " | " + k.Help + " |"
 }
 
-// TestFaultsAreOfOneType checks that callers can list the faults.
+// TestFaultsAreOfOneType checks that the error of Parse is an *Error that lists all
+// faults.
 func TestFaultsAreOfOneType(t *testing.T) {
 	_, err := Parse("f", []byte("services: 3\nteams: 4\n"))
 	var e *Error
--- a/internal/configurer/difference.go
+++ b/internal/configurer/difference.go
@@ -6,16 +6,17 @@
 
 // Difference is one effective value that differs between two versions.
 type Difference struct {
-	// Site is the site at which the value differs; empty for sites in general.
+	// Site is the site at which the value differs. It is empty for a difference that
+	// concerns sites without an overlay.
 	Site   string `json:"site,omitempty"`
 	Path   string `json:"path"`
 	Before string `json:"before,omitempty"` // Before is empty if the key is new.
-	After  string `json:"after,omitempty"`  // After is empty if the key is gone.
+	After  string `json:"after,omitempty"`  // After is empty if the key was removed.
 }
 
-// Differences returns the effective values that differ, those of sites in general
-// first. A site is listed only where it differs in another way than sites in
-// general do. Either version may be nil, which has no values.
+// Differences returns the effective values that differ between two versions. The
+// differences for sites without an overlay are listed first; a site with an overlay
+// follows only with differences that are not among them. A nil version has no values.
 func Differences(before, after *Version) ([]Difference, error) {
 	general, err := siteDifferences(before, after, "")
 	if err != nil {
@@ -23,11 +24,11 @@
 	}
 	out := general
 	for _, site := range sitesOf(before, after) {
-		special, err := siteDifferences(before, after, site)
+		siteSpecific, err := siteDifferences(before, after, site)
 		if err != nil {
 			return nil, err
 		}
-		for _, d := range special {
+		for _, d := range siteSpecific {
 			same := slices.ContainsFunc(general, func(g Difference) bool {
 				return g.Path == d.Path && g.Before == d.Before && g.After == d.After
 			})
@@ -39,6 +40,7 @@
 	return out, nil
 }
 
+// sitesOf returns the sites with an overlay in any of the versions, sorted.
 func sitesOf(versions ...*Version) []string {
 	var sites []string
 	for _, v := range versions {
@@ -53,28 +55,30 @@
 	return slices.Compact(sites)
 }
 
+// siteDifferences returns the differences at a site; the empty name stands for sites
+// without an overlay.
 func siteDifferences(before, after *Version, site string) ([]Difference, error) {
-	old, err := valuesOf(before, site)
+	oldValues, err := valuesOf(before, site)
 	if err != nil {
 		return nil, err
 	}
-	fresh, err := valuesOf(after, site)
+	newValues, err := valuesOf(after, site)
 	if err != nil {
 		return nil, err
 	}
 	newText := make(map[string]string)
-	for _, v := range fresh {
+	for _, v := range newValues {
 		newText[v.Path] = v.Text
 	}
 	oldText := make(map[string]string)
 	var out []Difference
-	for _, v := range old {
+	for _, v := range oldValues {
 		oldText[v.Path] = v.Text
-		if now := newText[v.Path]; now != v.Text {
-			out = append(out, Difference{Site: site, Path: v.Path, Before: v.Text, After: now})
+		if newValue := newText[v.Path]; newValue != v.Text {
+			out = append(out, Difference{Site: site, Path: v.Path, Before: v.Text, After: newValue})
 		}
 	}
-	for _, v := range fresh {
+	for _, v := range newValues {
 		if _, known := oldText[v.Path]; !known {
 			out = append(out, Difference{Site: site, Path: v.Path, After: v.Text})
 		}
@@ -82,6 +86,7 @@
 	return out, nil
 }
 
+// valuesOf returns the effective values of a version at a site.
 func valuesOf(v *Version, site string) ([]Value, error) {
 	if v == nil {
 		return nil, nil
--- a/internal/configurer/error.go
+++ b/internal/configurer/error.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// Kind says what is wrong with a configuration.
+// Kind classifies the errors of this package.
 type Kind string
 
-// The kinds of errors of this package.
+// The kinds of errors.
 const (
-	KindSyntax  Kind = "syntax"  // The file is not YAML.
-	KindInvalid Kind = "invalid" // The file is YAML but not a configuration.
-	KindStored  Kind = "stored"  // The stored version cannot be read.
+	KindSyntax  Kind = "syntax"  // The file is not valid YAML.
+	KindInvalid Kind = "invalid" // The file is valid YAML but not a valid configuration.
+	KindStored  Kind = "stored"  // A stored version cannot be encoded or decoded.
 )
 
-// Fault is one thing that is wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`   // Line counts from 1.
@@ -23,7 +23,7 @@
 	Message string `json:"message"`
 }
 
-// String returns the fault as compilers report theirs.
+// String returns the fault in the format of compiler errors.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Message)
 }
@@ -32,11 +32,11 @@
 type Error struct {
 	Op     string  // Op is the operation that failed.
 	Kind   Kind    // Kind is one of the Kind constants.
-	Faults []Fault // Faults has everything that is wrong, in the order of files and lines.
+	Faults []Fault // Faults are all faults of the files, in the order of files and lines.
 	Err    error   // Err is the cause if there are no faults.
 }
 
-// Error implements error. Each fault is on a line of its own.
+// Error implements error. It lists each fault on a line of its own.
 func (e *Error) Error() string {
 	if len(e.Faults) == 0 {
 		return fmt.Sprintf("configuration: %s: %s: %v", e.Op, e.Kind, e.Err)
--- a/internal/configurer/field.go
+++ b/internal/configurer/field.go
@@ -8,7 +8,7 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// required and optional say whether the base must set a key.
+// required and optional are values of [field.required].
 const (
 	required = true
 	optional = false
@@ -19,13 +19,13 @@
 	hashBytes    = 64
 )
 
-// field says how one key of a mapping is read into a T and shown.
+// field defines how the value of one key of a mapping is read into a T and formatted.
 type field[T any] struct {
 	key      string
 	kind     string // kind describes the values for operators; empty for a section.
-	help     string
-	tunable  bool // tunable is set if an overlay may set the key.
-	required bool
+	help     string // help describes the key for operators.
+	tunable  bool   // tunable is set if an overlay may set the key.
+	required bool   // required is set if the base must set the key.
 	read     func(r *reader, n ast.Node, path string, into *T)
 	// values emits the effective values at or below the key.
 	values func(of *T, path string, emit func(path, text string))
@@ -33,7 +33,7 @@
 	keys func(of *T, path string, emit func(Key))
 }
 
-// scalar returns a field of a single value.
+// scalar completes a field with a single value, which show formats.
 func scalar[T any](f field[T], show func(*T) string) field[T] {
 	f.values = func(of *T, path string, emit func(path, text string)) { emit(path, show(of)) }
 	f.keys = func(of *T, path string, emit func(Key)) {
@@ -46,8 +46,7 @@
 	return f
 }
 
-// capped returns a field that refuses a value which exceeds what the system can
-// carry.
+// capped returns a field that rejects values above a limit of the system.
 func capped[T any](f field[T], most string, exceeds func(*T) bool) field[T] {
 	read := f.read
 	f.read = func(r *reader, n ast.Node, path string, into *T) {
@@ -83,13 +82,13 @@
 	return f
 }
 
-// named returns a field whose value is a list of mappings with unique names. An
-// element begins as what fresh returns. An overlay may set parts of elements of the
-// base but add none.
-func named[T, U any](key string, must bool, fields []field[U], nameOf func(*U) *string, fresh func() U, get func(*T) *[]U) field[T] {
-	f := field[T]{key: key, required: must, tunable: anyTunable(fields[1:])}
+// namedList returns a field whose value is a list of mappings with unique names. An
+// element is initialized with newElement. An overlay may modify elements of the base but
+// not add any.
+func namedList[T, U any](key string, mandatory bool, fields []field[U], nameOf func(*U) *string, newElement func() U, get func(*T) *[]U) field[T] {
+	f := field[T]{key: key, required: mandatory, tunable: anyTunable(fields[1:])}
 	f.read = func(r *reader, n ast.Node, path string, into *T) {
-		readNamed(r, n, path, fields, nameOf, fresh, get(into))
+		readNamedList(r, n, path, fields, nameOf, newElement, get(into))
 	}
 	f.values = func(of *T, path string, emit func(path, text string)) {
 		list := *get(of)
@@ -100,7 +99,7 @@
 		}
 	}
 	f.keys = func(_ *T, path string, emit func(Key)) {
-		element := fresh()
+		element := newElement()
 		for _, sub := range fields {
 			sub.keys(&element, path+".NAME."+sub.key, func(k Key) {
 				k.Overlay = k.Overlay && f.tunable
@@ -111,6 +110,7 @@
 	return f
 }
 
+// anyTunable reports whether an overlay may set any of the fields.
 func anyTunable[T any](fields []field[T]) bool {
 	for _, f := range fields {
 		if f.tunable {
@@ -120,8 +120,8 @@
 	return false
 }
 
-// name returns the field that identifies an element of a list. It is the first
-// of its table. An overlay sets it to say which element it tunes.
+// name returns the field that identifies an element of a list. It must be the first
+// field of its table. In an overlay it selects the element to modify.
 func name[T any](key string, get func(*T) *string) field[T] {
 	f := field[T]{key: key, kind: "name", help: "unique in its list; lower case, digits and hyphens", required: required, tunable: tunable}
 	f.read = func(r *reader, n ast.Node, _ string, into *T) {
@@ -147,6 +147,7 @@
 	})
 }
 
+// path returns a field of an HTTP path.
 func path[T any](key string, tune bool, help string, get func(*T) *string) field[T] {
 	f := field[T]{key: key, kind: "path", help: help, tunable: tune, required: required}
 	f.read = func(r *reader, n ast.Node, _ string, into *T) {
@@ -170,8 +171,8 @@
 }
 
 // duration returns a field of a positive duration.
-func duration[T any](key string, tune, must bool, help string, get func(*T) *time.Duration) field[T] {
-	f := field[T]{key: key, kind: "duration", help: help, tunable: tune, required: must}
+func duration[T any](key string, tune, mandatory bool, help string, get func(*T) *time.Duration) field[T] {
+	f := field[T]{key: key, kind: "duration", help: help, tunable: tune, required: mandatory}
 	f.read = func(r *reader, n ast.Node, _ string, into *T) {
 		const want = "a duration such as 250ms or 30s"
 		text, ok := r.text(n, want)
@@ -191,7 +192,7 @@
 	return scalar(f, func(of *T) string { return get(of).String() })
 }
 
-// count returns a field of an integer that is not below the minimum.
+// count returns a field of an integer that is at least the given minimum.
 func count[T any, N int | int64](key string, tune bool, least int64, help string, get func(*T) *N) field[T] {
 	f := field[T]{key: key, kind: "integer", help: help, tunable: tune}
 	f.read = func(r *reader, n ast.Node, _ string, into *T) {
@@ -209,8 +210,8 @@
 }
 
 // ratio returns a field of a number from 0 to 1.
-func ratio[T any](key string, tune, must bool, help string, get func(*T) *float64) field[T] {
-	f := field[T]{key: key, kind: "ratio", help: help, tunable: tune, required: must}
+func ratio[T any](key string, tune, mandatory bool, help string, get func(*T) *float64) field[T] {
+	f := field[T]{key: key, kind: "ratio", help: help, tunable: tune, required: mandatory}
 	f.read = func(r *reader, n ast.Node, _ string, into *T) {
 		number, ok := r.number(n)
 		if !ok {
@@ -225,7 +226,7 @@
 	return scalar(f, func(of *T) string { return formatFloat(*get(of)) })
 }
 
-// number returns a field of a number that is not below the minimum.
+// number returns a field of a number that is at least the given minimum.
 func number[T any](key string, tune bool, least float64, help string, get func(*T) *float64) field[T] {
 	f := field[T]{key: key, kind: "number", help: help, tunable: tune}
 	f.read = func(r *reader, n ast.Node, _ string, into *T) {
@@ -244,7 +245,7 @@
 
 func formatFloat(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// choice returns a field of one of some words.
+// choice returns a field of one of the given words.
 func choice[T any, S ~string](key string, words []S, help string, get func(*T) *S) field[T] {
 	names := make([]string, len(words))
 	for i, w := range words {
@@ -268,8 +269,8 @@
 	return scalar(f, func(of *T) string { return string(*get(of)) })
 }
 
-// hashes returns a field of a list of token hashes. No fault repeats a value: an
-// operator may have put a token where its hash belongs.
+// hashes returns a field of a list of token hashes. Faults do not include the value,
+// because an operator may have entered a token instead of its hash.
 func hashes[T any](key, help string, get func(*T) *[]string) field[T] {
 	f := field[T]{key: key, kind: "list of hashes", help: help}
 	f.read = func(r *reader, n ast.Node, path string, into *T) {
@@ -287,9 +288,10 @@
 	return scalar(f, func(of *T) string { return showHashes(*get(of)) })
 }
 
+// shownHashBytes is the number of digits of a hash that are shown.
 const shownHashBytes = 8
 
-// showHashes shortens hashes to what tells them apart.
+// showHashes formats hashes, each shortened to a prefix that is enough to tell them apart.
 func showHashes(list []string) string {
 	short := make([]string, len(list))
 	for i, hash := range list {
--- a/internal/configurer/fuzz_test.go
+++ b/internal/configurer/fuzz_test.go
@@ -33,9 +33,9 @@
 queue: {max-tasks: 20}
 `
 
-// FuzzCompose reads any two files as base and overlay. A file is read or refused
-// with the place of every fault, and an overlay changes nothing but what the
-// tables let it.
+// FuzzCompose composes arbitrary files as base and overlay. It checks that every fault of
+// a rejected file has a position, and that an overlay changes only values that the
+// tables allow it to set.
 func FuzzCompose(f *testing.F) {
 	f.Add(validBase, validOverlay)
 	f.Fuzz(func(t *testing.T, base, overlay string) {
@@ -67,11 +67,11 @@
 	}
 	faults := faultsOf(err)
 	if len(faults) == 0 {
-		t.Errorf("an error without faults: %v", err)
+		t.Errorf("got an error without faults: %v", err)
 	}
 	for _, fault := range faults {
 		if fault.Line < 1 || fault.Column < 1 || fault.Message == "" {
-			t.Errorf("a fault without a place: %+v", fault)
+			t.Errorf("got a fault without position or message: %+v", fault)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	return slices.DeleteFunc(e.Values(), func(v Value) bool { return tunableKeys[keyOf(v.Path)] })
 }
 
-// keyOf returns the key of a value's path: the name of an element is NAME.
+// keyOf returns the key for the path of a value, with NAME for the name of an element.
 func keyOf(path string) string {
 	parts := strings.Split(path, ".")
 	switch parts[0] {
@@ -95,7 +95,7 @@
 	return strings.Join(parts, ".")
 }
 
-// checkConfig checks what the fields of a configuration promise.
+// checkConfig checks the documented invariants of a configuration.
 func checkConfig(t *testing.T, c *Config) {
 	t.Helper()
 	for i, s := range c.Services {
@@ -119,7 +119,7 @@
 	}
 }
 
-// FuzzDecodeVersion reads any text as a stored version.
+// FuzzDecodeVersion decodes arbitrary texts as stored versions.
 func FuzzDecodeVersion(f *testing.F) {
 	f.Add([]byte(`{"number":3,"change-id":"c","base":"services: []\n","overlays":[{"site":"ub-1","text":"site: ub-1\n"}]}`))
 	f.Add([]byte(`{"number":0}`))
@@ -130,7 +130,7 @@
 			return
 		}
 		if v.Number == 0 {
-			t.Error("a version without a number")
+			t.Error("decoded a version without a number")
 		}
 		_, err = v.ComposeAll()
 		checkFaults(t, err)
--- a/internal/configurer/key.go
+++ b/internal/configurer/key.go
@@ -2,7 +2,7 @@
 
 // Key describes one key for operators.
 type Key struct {
-	Path     string // Path has NAME in place of an element's name.
+	Path     string // Path contains NAME in place of the name of an element.
 	Kind     string
 	Help     string
 	Default  string // Default is empty for a key that the base must set.
--- a/internal/configurer/reader.go
+++ b/internal/configurer/reader.go
@@ -11,21 +11,21 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Origin is the place of a value in a file.
+// Origin is the place in a file at which a value is set.
 type Origin struct {
 	File   string `json:"file"`
 	Line   int    `json:"line,omitempty"`   // Line is 0 for a default.
 	Column int    `json:"column,omitempty"` // Column is 0 for a default.
 }
 
-// reader walks the syntax tree of one file, reads values by the tables, and
-// gathers all faults.
+// reader reads the values of a base and an overlay from their syntax trees, as the tables
+// of schema.go define them, and collects all faults.
 type reader struct {
-	file    string
-	overlay bool // overlay is set if the file may only tune.
+	file    string // file is the name of the current file.
+	overlay bool   // overlay is set if the current file is an overlay.
 	faults  []Fault
-	origins map[string]Origin // origins has the place of each value by its path.
-	hashes  map[string]string // hashes has the owner of each token hash.
+	origins map[string]Origin // origins holds the place of each value, by path.
+	hashes  map[string]string // hashes holds the path of the team or operator of each token hash.
 }
 
 // fault records a fault at a node.
@@ -39,7 +39,8 @@
 	return Origin{File: r.file, Line: line, Column: column}
 }
 
-// position returns where a node begins; a mapping begins with its first key.
+// position returns the position at which a node begins, which for a mapping is that of its
+// first key.
 func position(n ast.Node) (line, column int) {
 	switch m := n.(type) {
 	case *ast.MappingNode:
@@ -77,7 +78,8 @@
 	return nil, false
 }
 
-// text returns a value that is a string.
+// text returns the value of a string node. The fault for any other node says what was
+// wanted.
 func (r *reader) text(n ast.Node, want string) (string, bool) {
 	switch n := n.(type) {
 	case *ast.StringNode:
@@ -91,7 +93,7 @@
 	return "", false
 }
 
-// integer returns a value that is an integer.
+// integer returns the value of an integer node.
 func (r *reader) integer(n ast.Node) (int64, bool) {
 	if i, ok := n.(*ast.IntegerNode); ok {
 		switch v := i.Value.(type) {
@@ -109,7 +111,7 @@
 	return 0, false
 }
 
-// number returns a value that is an integer or a fraction.
+// number returns the value of an integer or floating-point node.
 func (r *reader) number(n ast.Node) (float64, bool) {
 	switch n := n.(type) {
 	case *ast.FloatNode:
@@ -126,8 +128,8 @@
 	return 0, false
 }
 
-// hash returns a value that is a token hash. Two teams or operators with the
-// same token could not be told apart.
+// hash returns the value of a node that is a token hash. A hash that is in use already is
+// a fault, since two teams or operators with the same token could not be told apart.
 func (r *reader) hash(n ast.Node, path string) (string, bool) {
 	text, ok := n.(*ast.StringNode)
 	if !ok || len(text.Value) != hashBytes || !isHexadecimal(text.Value) {
@@ -149,7 +151,7 @@
 	})
 }
 
-// readMapping reads the keys of a mapping by a table.
+// readMapping reads a mapping whose keys are defined by a table of fields.
 func readMapping[T any](r *reader, n ast.Node, path string, fields []field[T], into *T) {
 	pairs, ok := r.pairs(n)
 	if !ok {
@@ -178,6 +180,7 @@
 	}
 }
 
+// readField reads the value of one key.
 func readField[T any](r *reader, pair *ast.MappingValueNode, path string, f *field[T], into *T) {
 	if r.overlay && !f.tunable {
 		r.fault(pair.Key, "an overlay may not set %s, which must be the same at every site; set it in the base", path)
@@ -187,7 +190,8 @@
 	f.read(r, pair.Value, path, into)
 }
 
-// key returns the key of a pair and records that it was seen.
+// key returns the key of a pair and marks it as seen. A key that was seen before is a
+// fault.
 func (r *reader) key(pair *ast.MappingValueNode, seen map[string]bool) (string, bool) {
 	text, ok := pair.Key.(*ast.StringNode)
 	if !ok {
@@ -217,8 +221,8 @@
 	return path + "." + key
 }
 
-// readNamed reads a list of mappings with names.
-func readNamed[T any](r *reader, n ast.Node, path string, fields []field[T], nameOf func(*T) *string, fresh func() T, list *[]T) {
+// readNamedList reads a list of mappings with unique names.
+func readNamedList[T any](r *reader, n ast.Node, path string, fields []field[T], nameOf func(*T) *string, newElement func() T, list *[]T) {
 	items, ok := r.sequence(n)
 	if !ok {
 		return
@@ -232,18 +236,19 @@
 		}
 		seen[name] = true
 		if r.overlay {
-			tuneNamed(r, item, path, name, fields, nameOf, *list)
+			tuneElement(r, item, path, name, fields, nameOf, *list)
 			continue
 		}
-		element := fresh()
+		element := newElement()
 		readMapping(r, item, joinPath(path, name), fields, &element)
 		*list = append(*list, element)
 	}
 	slices.SortFunc(*list, func(a, b T) int { return cmp.Compare(*nameOf(&a), *nameOf(&b)) })
 }
 
-// tuneNamed applies an element of an overlay to that of the same name.
-func tuneNamed[T any](r *reader, item ast.Node, path, name string, fields []field[T], nameOf func(*T) *string, list []T) {
+// tuneElement applies an element of an overlay to the element of the base with the same
+// name.
+func tuneElement[T any](r *reader, item ast.Node, path, name string, fields []field[T], nameOf func(*T) *string, list []T) {
 	if name == "" {
 		r.fault(item, "the key \"name\" is missing")
 		return
@@ -260,7 +265,7 @@
 	readMapping(r, item, joinPath(path, name), fields, &list[i])
 }
 
-// peekName returns the name of an element, or "" if it has none that is valid.
+// peekName returns the name of an element, or "" if it has no valid name.
 func (r *reader) peekName(item ast.Node) string {
 	var pairs []*ast.MappingValueNode
 	switch n := item.(type) {
@@ -279,7 +284,7 @@
 	return ""
 }
 
-// describe says what a node is.
+// describe returns a description of the kind of a node, for faults.
 func describe(n ast.Node) string {
 	switch n := n.(type) {
 	case nil, *ast.NullNode:
@@ -293,15 +298,15 @@
 	case *ast.InfinityNode, *ast.NanNode:
 		return "a number that is not finite"
 	case *ast.BoolNode:
-		return "a truth value"
+		return "a boolean"
 	case *ast.MappingNode, *ast.MappingValueNode:
 		return "a mapping"
 	case *ast.SequenceNode:
 		return "a list"
 	case *ast.AnchorNode, *ast.AliasNode, *ast.MergeKeyNode:
-		return "an anchor, alias or merge, which are not taken"
+		return "an anchor, alias or merge key, which are not supported"
 	case *ast.TagNode:
-		return "a tag, which are not taken"
+		return "a tag, which is not supported"
 	case *ast.LiteralNode:
 		return "a block of text"
 	}
--- a/internal/configurer/schema.go
+++ b/internal/configurer/schema.go
@@ -2,30 +2,28 @@
 
 import "time"
 
-// The tables below are the one place that says which keys there are, what values
-// they take, and which of them an overlay may set. An overlay may set what tunes
-// a site and nothing that callers, teams or operators can tell from outside:
-// what a service, a quota, an objective or an accepted request is must be the
-// same at every site.
+// The tables below are the only definition of the keys, the values that they accept, and
+// which of them an overlay may set. An overlay may set values that tune a site, but none
+// that are visible to callers, teams or operators: services, quotas, objectives and the
+// limits on requests must be the same at every site.
 
-// The bounds of what the system can carry, whatever the configuration says. A body
-// must fit into a message between entries, and records are kept for the longest
-// deadline.
+// Limits of the system that no configuration can exceed. A body must fit into a message
+// between entries, and records are kept for the longest deadline.
 const (
 	MaxBodyBytes = 32 << 20
 	MaxDeadline  = 10 * time.Minute
 )
 
-// baseOnly and tunable say who may set a key.
+// baseOnly and tunable are values of [field.tunable].
 const (
 	baseOnly = false
 	tunable  = true
 )
 
 var configFields = []field[Config]{
-	named("services", required, serviceFields, serviceName, defaultService, func(c *Config) *[]Service { return &c.Services }),
-	named("teams", optional, teamFields, teamName, zero[Team], func(c *Config) *[]Team { return &c.Teams }),
-	named("operators", optional, operatorFields, operatorName, zero[Operator], func(c *Config) *[]Operator { return &c.Operators }),
+	namedList("services", required, serviceFields, serviceName, defaultService, func(c *Config) *[]Service { return &c.Services }),
+	namedList("teams", optional, teamFields, teamName, zero[Team], func(c *Config) *[]Team { return &c.Teams }),
+	namedList("operators", optional, operatorFields, operatorName, zero[Operator], func(c *Config) *[]Operator { return &c.Operators }),
 	section("limits", limitsFields, func(c *Config) *Limits { return &c.Limits }),
 	section("queue", queueFields, func(c *Config) *Queue { return &c.Queue }),
 	section("ejection", ejectionFields, func(c *Config) *Ejection { return &c.Ejection }),
--- a/internal/configurer/suggestion.go
+++ b/internal/configurer/suggestion.go
@@ -2,7 +2,8 @@
 
 import "strconv"
 
-// suggestion names the word that is nearest to an unknown one, if one is near.
+// suggestion returns a hint with the word that is most similar to an unknown one, or "" if
+// none is similar.
 func suggestion(unknown string, words []string) string {
 	if len(unknown) > maxNameBytes {
 		return ""
@@ -19,7 +20,7 @@
 	return "; did you mean " + strconv.Quote(best) + "?"
 }
 
-// distance is the number of bytes to insert, delete or replace to make a into b.
+// distance returns the Levenshtein distance of two strings in bytes.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/configurer/version.go
+++ b/internal/configurer/version.go
@@ -23,22 +23,21 @@
 	DocumentPrefix = "config/documents/"
 )
 
-// Head is what identifies an accepted version. It is small, because every entry
-// reads it often.
+// Head identifies an accepted version. It is small, because every entry reads it often.
 type Head struct {
-	// Number grows by one with every accepted version; the first is 1.
+	// Number increases by one with every accepted version; the first is 1.
 	Number uint64 `json:"number"`
-	// ChangeID names the change, so that a repeated one is recognised.
+	// ChangeID identifies the change, so that a repeated request is recognised.
 	ChangeID string `json:"change-id"`
-	// Operator and At say who made the change and when, by the operator's clock.
+	// Operator made the change at the time At, by the operator's clock.
 	Operator string    `json:"operator,omitempty"`
 	At       time.Time `json:"at,omitzero"`
 	Comment  string    `json:"comment,omitempty"`
-	// RollbackTo is the version whose content this one has again, or 0.
+	// RollbackTo is the version whose content this one restores, or 0.
 	RollbackTo uint64 `json:"rollback-to,omitempty"`
 }
 
-// Version is an accepted version of the configuration, as it is stored.
+// Version is an accepted version of the configuration as stored.
 type Version struct {
 	Head
 	// Base is the text of the base file.
@@ -59,10 +58,10 @@
 // DocumentKey returns the key of the row or object that holds a version.
 func DocumentKey(number uint64) string { return DocumentPrefix + padded(number) }
 
-// padded makes the order of keys that of numbers.
+// padded formats a number with leading zeros, so that keys sort by number.
 func padded(number uint64) string { return fmt.Sprintf("%020d", number) }
 
-// DecodeVersion reads a stored version.
+// DecodeVersion decodes a stored version.
 func DecodeVersion(text []byte) (*Version, error) {
 	v := new(Version)
 	if err := json.Unmarshal(text, v); err != nil {
@@ -74,7 +73,7 @@
 	return v, nil
 }
 
-// DecodeHead reads a stored head.
+// DecodeHead decodes a stored head.
 func DecodeHead(text []byte) (Head, error) {
 	var h Head
 	if err := json.Unmarshal(text, &h); err != nil {
@@ -86,7 +85,7 @@
 	return h, nil
 }
 
-// Puts returns the rows that a version is stored as. They are written together.
+// Puts returns the rows of a version. They must be written in one transaction.
 func (v *Version) Puts() ([]storer.Put, error) {
 	head, err := json.Marshal(v.Head)
 	if err != nil {
@@ -103,8 +102,8 @@
 	}, nil
 }
 
-// Compose returns the effective configuration of a site. A site without an
-// overlay has that of the base.
+// Compose returns the effective configuration of a site. For a site without an overlay it
+// is the base.
 func (v *Version) Compose(site string) (*Effective, error) {
 	base, overlays := v.Files()
 	i := slices.IndexFunc(v.Overlays, func(o Overlay) bool { return o.Site == site })
@@ -118,11 +117,11 @@
 type Composed struct {
 	Version *Version
 	base    *Effective
-	sites   []*Effective // sites has those with an overlay, in the order of the version's overlays.
+	sites   []*Effective // sites holds the sites with an overlay, in the order of Version.Overlays.
 }
 
-// ComposeAll composes the configuration of every site. It takes milliseconds for
-// a large version, so it is not called on the control thread.
+// ComposeAll composes the configuration of every site. It takes milliseconds for a large
+// version and must not be called on the control thread.
 func (v *Version) ComposeAll() (*Composed, error) {
 	c := &Composed{Version: v}
 	var err error
@@ -139,7 +138,7 @@
 	return c, nil
 }
 
-// Site returns the configuration of a site. It must not be changed.
+// Site returns the configuration of a site, which must not be modified.
 func (c *Composed) Site(name string) *Config {
 	for i, o := range c.Version.Overlays {
 		if o.Site == name {
@@ -149,7 +148,7 @@
 	return &c.base.Config
 }
 
-// Files returns the version's files with the names by which errors call them.
+// Files returns the version's files with the names that errors use for them.
 func (v *Version) Files() (base File, overlays []File) {
 	for _, o := range v.Overlays {
 		overlays = append(overlays, File{Name: "overlay " + o.Site, Text: []byte(o.Text)})
@@ -157,8 +156,8 @@
 	return File{Name: "base", Text: []byte(v.Base)}, overlays
 }
 
-// NewVersion checks a base with all overlays and returns them as a version
-// without a head. Nothing is lost by it: the texts are kept as they are.
+// NewVersion checks a base with all overlays and returns them as a version without a
+// head. The version holds the texts unchanged, with comments and formatting.
 func NewVersion(base File, overlays []File) (*Version, error) {
 	sites, err := CheckAll(base, overlays)
 	if err != nil {
