--- a/internal/replayer/agent.go
+++ b/internal/replayer/agent.go
@@ -10,50 +10,50 @@
 	"sardinelock.dev/sardinelock/internal/runner"
 )
 
-// agent is an agent's process with its upstream.
+// agent is an agent process and the model of its upstream.
 type agent struct {
-	world    *world
-	index    int
-	life     int // life counts the runs of the process.
-	peer     messenger.Peer
-	runner   *runner.Runner
-	links    map[messenger.Peer]*link
-	dialling map[messenger.Peer]bool
-	upstream *upstream
-	sequence int64
-	down     bool
-	frozen   bool
-	backlog  []func()
+	world       *world
+	index       int
+	incarnation int // incarnation counts the starts of the process.
+	peer        messenger.Peer
+	runner      *runner.Runner
+	links       map[messenger.Peer]*link
+	dialling    map[messenger.Peer]bool
+	upstream    *upstream
+	sequence    int64
+	down        bool
+	frozen      bool
+	backlog     []func()
 }
 
-// announceEvery is the period of an upstream's announcements.
-const announceEvery = 1500 * time.Millisecond
+// announceInterval is the period at which an upstream announces itself.
+const announceInterval = 1500 * time.Millisecond
 
 func newAgent(w *world, index int) *agent {
 	a := &agent{world: w, index: index}
 	a.upstream = newUpstream(w, index)
-	a.begin()
+	a.startProcess()
 	a.tick()
 	a.announce()
 	return a
 }
 
-// instance names the machine.
+// instance returns the name of the agent's machine.
 func (a *agent) instance() string { return fmt.Sprintf("agent-%d", a.index) }
 
-func (a *agent) begin() {
-	a.life++
-	a.peer = messenger.Peer(fmt.Sprintf("agent-%d-%d", a.index, a.life))
+func (a *agent) startProcess() {
+	a.incarnation++
+	a.peer = messenger.Peer(fmt.Sprintf("agent-%d-%d", a.index, a.incarnation))
 	a.runner = runner.New(runnerLimits)
 	a.links = make(map[messenger.Peer]*link)
 	a.dialling = make(map[messenger.Peer]bool)
 	a.down = false
-	a.ask(a.life)
+	a.poll(a.incarnation)
 }
 
 func (a *agent) tick() {
 	a.run(a.dial)
-	a.world.after(tickEvery, a.tick)
+	a.world.after(tickInterval, a.tick)
 }
 
 func (a *agent) announce() {
@@ -62,15 +62,16 @@
 		seq := a.sequence
 		a.run(func() {
 			a.runner.Announce(a.world.now, runner.Announcement{
-				Incarnation: u.life, Service: service, Capacity: u.capacity, Labels: []string{u.rack},
+				Incarnation: u.incarnation, Service: service, Capacity: u.capacity, Labels: []string{u.rack},
 				Leaving: u.leaving, Sequence: seq,
 			})
 		})
 	}
-	a.world.after(announceEvery, a.announce)
+	a.world.after(announceInterval, a.announce)
 }
 
-// dial connects to the entries, once nothing is left of earlier connections.
+// dial connects to every entry that is not connected. It waits until the runs that
+// earlier connections left behind have ended.
 func (a *agent) dial() {
 	if a.runner.HasOrphans() {
 		return
@@ -80,15 +81,15 @@
 			continue
 		}
 		a.dialling[e.peer] = true
-		peer, life := e.peer, a.life
-		a.world.after(connectDelay, func() { a.connect(e, peer, life) })
+		peer, incarnation := e.peer, a.incarnation
+		a.world.after(reconnectDelay, func() { a.connect(e, peer, incarnation) })
 	}
 }
 
-func (a *agent) connect(e *entry, peer messenger.Peer, life int) {
+func (a *agent) connect(e *entry, peer messenger.Peer, incarnation int) {
 	a.run(func() {
 		delete(a.dialling, peer)
-		if a.life != life || e.peer != peer || e.down || e.frozen || e.cut || a.runner.HasOrphans() {
+		if a.incarnation != incarnation || e.peer != peer || e.down || e.frozen || e.partitioned || a.runner.HasOrphans() {
 			return
 		}
 		l := &link{entry: e, agent: a}
@@ -101,8 +102,8 @@
 	})
 }
 
-// dropped takes the end of a connection.
-func (a *agent) dropped(l *link) {
+// connectionClosed removes a closed connection and tells the runner.
+func (a *agent) connectionClosed(l *link) {
 	if a.links[l.entry.peer] == l {
 		delete(a.links, l.entry.peer)
 		a.runner.EntryDown(a.world.now, l.entry.peer)
@@ -115,20 +116,21 @@
 	}
 }
 
-// run has the process do something, and what it decides then.
-func (a *agent) run(do func()) {
+// run handles an event in the process and carries out the runner's output. A frozen
+// process queues the event until it is unfrozen.
+func (a *agent) run(handle func()) {
 	if a.down {
 		return
 	}
 	if a.frozen {
-		a.backlog = append(a.backlog, do)
+		a.backlog = append(a.backlog, handle)
 		return
 	}
-	do()
+	handle()
 	a.world.result.Wakeups++
 	out := a.runner.Take(a.world.now)
 	for _, c := range out.Starts {
-		a.start(c, startTries)
+		a.start(c, maxStartAttempts)
 	}
 	for _, c := range out.Stops {
 		a.stop(c)
@@ -146,8 +148,8 @@
 	}
 }
 
-func (a *agent) start(c runner.StartCall, tries int) {
-	life := a.life
+func (a *agent) start(c runner.StartCall, attemptsLeft int) {
+	incarnation := a.incarnation
 	answered := false
 	answer := func(answer runner.Answer) {
 		if answered {
@@ -155,24 +157,24 @@
 		}
 		answered = true
 		a.run(func() {
-			if a.life == life {
-				a.runner.Started(a.world.now, c, answer, tries < startTries)
+			if a.incarnation == incarnation {
+				a.runner.Started(a.world.now, c, answer, attemptsLeft < maxStartAttempts)
 			}
 		})
 	}
 	deadline := a.world.now + runnerLimits.LeaseDuration
-	a.upstream.order(func(lost bool) {
-		r := a.upstream.start(c, a.life, deadline)
+	a.upstream.call(func(lost bool) {
+		r := a.upstream.start(c, a.incarnation, deadline)
 		if !lost {
 			a.world.after(localDelay, func() { answer(r) })
 		}
 	})
 	a.world.after(callTimeout, func() {
 		switch {
-		case answered || a.down || a.life != life:
-		case tries > 1:
+		case answered || a.down || a.incarnation != incarnation:
+		case attemptsLeft > 1:
 			answered = true
-			a.start(c, tries-1)
+			a.start(c, attemptsLeft-1)
 		default:
 			answer(runner.AnswerNone)
 		}
@@ -180,7 +182,7 @@
 }
 
 func (a *agent) stop(c runner.StopCall) {
-	life := a.life
+	incarnation := a.incarnation
 	answered := false
 	answer := func(ok bool) {
 		if answered {
@@ -188,13 +190,13 @@
 		}
 		answered = true
 		a.run(func() {
-			if a.life == life {
+			if a.incarnation == incarnation {
 				a.runner.Stopped(a.world.now, c, ok)
 			}
 		})
 	}
-	a.upstream.order(func(lost bool) {
-		ok := a.upstream.stop(c, a.life)
+	a.upstream.call(func(lost bool) {
+		ok := a.upstream.stop(c, a.incarnation)
 		if !lost {
 			a.world.after(localDelay, func() { answer(ok) })
 		}
@@ -202,21 +204,22 @@
 	a.world.after(callTimeout, func() { answer(false) })
 }
 
-// ask asks the upstream again and again.
-func (a *agent) ask(life int) {
-	if a.down || a.life != life {
+// poll sends a poll to the upstream, and the next one as soon as it is answered or has
+// timed out.
+func (a *agent) poll(incarnation int) {
+	if a.down || a.incarnation != incarnation {
 		return
 	}
 	if a.frozen {
-		a.backlog = append(a.backlog, func() { a.ask(life) })
+		a.backlog = append(a.backlog, func() { a.poll(incarnation) })
 		return
 	}
 	w := a.world
-	asked := w.now
-	q := a.runner.NextPoll(asked)
+	requestedAt := w.now
+	request := a.runner.NextPoll(requestedAt)
 	answered := false
-	take := func(l *runner.Listing) {
-		if answered || a.life != life {
+	handleListing := func(l *runner.Listing) {
+		if answered || a.incarnation != incarnation {
 			return
 		}
 		answered = true
@@ -225,19 +228,19 @@
 				a.runner.PollFailed(w.now, a.upstream.down)
 				return
 			}
-			l.RequestedAt = asked
+			l.RequestedAt = requestedAt
 			a.runner.Listed(w.now, *l)
 		})
-		a.ask(life)
+		a.poll(incarnation)
 	}
-	a.upstream.order(func(lost bool) {
-		a.upstream.hold(q, a.life, func(l runner.Listing) {
+	a.upstream.call(func(lost bool) {
+		a.upstream.poll(request, a.incarnation, func(l runner.Listing) {
 			if !lost {
-				w.after(localDelay, func() { take(&l) })
+				w.after(localDelay, func() { handleListing(&l) })
 			}
 		})
 	})
-	w.after(askFor+callTimeout, func() { take(nil) })
+	w.after(pollTimeout+callTimeout, func() { handleListing(nil) })
 }
 
 func (a *agent) kill() {
@@ -247,7 +250,7 @@
 	}
 }
 
-func (a *agent) thaw() {
+func (a *agent) unfreeze() {
 	a.frozen = false
 	backlog := a.backlog
 	a.backlog = nil
--- a/internal/replayer/ideal.go
+++ b/internal/replayer/ideal.go
@@ -9,99 +9,101 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// ideal is a single queue that knows everything: which upstreams are sound and what
-// each task takes. Nothing on the way takes time.
+// ideal is the baseline: a single queue that knows which upstreams are healthy and how
+// long each task runs. Messages take no time.
 type ideal struct {
-	world *world
-	hosts []*host
-	queue []*idealTask
-	calls map[*call]*idealJob
+	world     *world
+	upstreams []*idealUpstream
+	queue     []*idealTask
+	jobs      map[*callerJob]*idealJob
 }
 
-type host struct {
+type idealUpstream struct {
 	capacity, used messenger.Resources
-	speed          float64
+	slowdown       float64
 	down           bool
 	running        []*idealTask
 }
 
 type idealJob struct {
-	left int
+	remaining int
 }
 
 type idealTask struct {
-	call  *call
-	takes time.Duration
-	host  *host
-	life  int // life counts the starts, so that an end of an earlier one is known.
+	job      *callerJob
+	runTime  time.Duration
+	upstream *idealUpstream
+	starts   int // starts counts the starts, to recognise the end of an earlier run.
 }
 
-// PlayIdeal plays the arrivals of a pattern and seed with full knowledge.
+// PlayIdeal returns the result of the ideal scheduler for a pattern and a seed.
 func PlayIdeal(p Pattern, seed uint64) Result {
 	w := newWorld(p, seed)
-	i := &ideal{world: w, calls: make(map[*call]*idealJob)}
+	i := &ideal{world: w, jobs: make(map[*callerJob]*idealJob)}
 	for n := range p.Upstreams {
-		i.hosts = append(i.hosts, &host{capacity: newUpstream(w, n).capacity, speed: 1})
+		i.upstreams = append(i.upstreams, &idealUpstream{capacity: newUpstream(w, n).capacity, slowdown: 1})
 	}
 	for _, f := range p.Faults {
-		w.at(f.At, func() { i.strike(f) })
+		w.at(f.At, func() { i.injectFault(f) })
 	}
-	w.deliver = i.submit
+	w.submitJob = i.submit
 	return w.play()
 }
 
-// strike takes away what a fault makes useless; tasks at a host that ends begin anew.
-func (i *ideal) strike(f Fault) {
-	count := min(max(1, f.Count), len(i.hosts))
+// injectFault takes the upstreams of a fault down, or slows them, while it lasts. The
+// tasks that ran there are rescheduled.
+func (i *ideal) injectFault(f Fault) {
+	count := min(max(1, f.Count), len(i.upstreams))
 	for n := range count {
-		h := i.hosts[(n*3+1)%len(i.hosts)]
+		h := i.upstreams[(n*3+1)%len(i.upstreams)]
 		switch f.Kind {
 		case FaultRack:
-			for _, h := range i.hosts[:min(3, len(i.hosts))] {
-				i.end(h, f.Duration)
+			for _, h := range i.upstreams[:min(3, len(i.upstreams))] {
+				i.takeDown(h, f.Duration)
 			}
 		case FaultHang, FaultCrash, FaultFail:
-			i.end(h, f.Duration)
+			i.takeDown(h, f.Duration)
 		case FaultRollingRestart:
-			i.world.after(time.Duration(n)*time.Second, func() { i.end(h, 5*time.Second) })
+			i.world.after(time.Duration(n)*time.Second, func() { i.takeDown(h, 5*time.Second) })
 		case FaultSlow:
-			h.speed = f.Factor
-			i.world.after(f.Duration, func() { h.speed = 1; i.place() })
+			h.slowdown = f.Factor
+			i.world.after(f.Duration, func() { h.slowdown = 1; i.dispatch() })
 		}
 	}
 }
 
-func (i *ideal) end(h *host, d time.Duration) {
+func (i *ideal) takeDown(h *idealUpstream, d time.Duration) {
 	h.down = true
 	for _, t := range h.running {
-		t.life++
+		t.starts++
 		i.queue = append(i.queue, t)
 	}
 	h.running, h.used = nil, messenger.Resources{}
-	i.world.after(d, func() { h.down = false; i.place() })
-	i.place()
+	i.world.after(d, func() { h.down = false; i.dispatch() })
+	i.dispatch()
 }
 
-func (i *ideal) submit(c *call) {
-	i.calls[c] = &idealJob{left: len(c.takes)}
-	if c.hopeless {
+func (i *ideal) submit(c *callerJob) {
+	i.jobs[c] = &idealJob{remaining: len(c.runTimes)}
+	if c.alwaysFails {
 		i.world.answered(c, assigner.Answer{Outcome: assigner.OutcomeFailed})
 		return
 	}
-	for _, takes := range c.takes {
-		i.queue = append(i.queue, &idealTask{call: c, takes: takes})
+	for _, d := range c.runTimes {
+		i.queue = append(i.queue, &idealTask{job: c, runTime: d})
 	}
-	i.place()
+	i.dispatch()
 }
 
-// place starts what fits, the most urgent first; what can only be late comes last.
-func (i *ideal) place() {
+// dispatch starts the tasks that fit, in order of urgency. Tasks that can no longer
+// meet the job's objective come last; those past the late limit are dropped.
+func (i *ideal) dispatch() {
 	now := i.world.now
 	i.queue = slices.DeleteFunc(i.queue, func(t *idealTask) bool {
-		return t.call.left || now+t.takes > t.call.arrived+lateFactor*t.call.objective()
+		return t.job.callerLeft || now+t.runTime > t.job.arrived+lateFactor*t.job.objective()
 	})
 	urgency := func(t *idealTask) time.Duration {
-		latest := t.call.arrived + t.call.objective() - t.takes
+		latest := t.job.arrived + t.job.objective() - t.runTime
 		if latest < now {
 			latest += time.Hour
 		}
@@ -112,35 +114,35 @@
 }
 
 func (i *ideal) start(t *idealTask) bool {
-	var best *host
-	for _, h := range i.hosts {
-		if !h.down && h.used.Add(t.call.room).Fits(h.capacity) && (best == nil || h.speed < best.speed) {
+	var best *idealUpstream
+	for _, h := range i.upstreams {
+		if !h.down && h.used.Add(t.job.resources).Fits(h.capacity) && (best == nil || h.slowdown < best.slowdown) {
 			best = h
 		}
 	}
 	if best == nil {
 		return false
 	}
-	best.used = best.used.Add(t.call.room)
+	best.used = best.used.Add(t.job.resources)
 	best.running = append(best.running, t)
-	t.host = best
-	life := t.life
-	i.world.after(time.Duration(float64(t.takes)*best.speed), func() {
-		if t.life == life {
-			i.done(t)
+	t.upstream = best
+	starts := t.starts
+	i.world.after(time.Duration(float64(t.runTime)*best.slowdown), func() {
+		if t.starts == starts {
+			i.taskDone(t)
 		}
 	})
 	return true
 }
 
-func (i *ideal) done(t *idealTask) {
-	h := t.host
-	h.used = h.used.Sub(t.call.room)
+func (i *ideal) taskDone(t *idealTask) {
+	h := t.upstream
+	h.used = h.used.Sub(t.job.resources)
 	h.running = slices.DeleteFunc(h.running, func(o *idealTask) bool { return o == t })
-	j := i.calls[t.call]
-	j.left--
-	if j.left == 0 && !t.call.left {
-		i.world.answered(t.call, assigner.Answer{Outcome: assigner.OutcomeCompleted})
+	j := i.jobs[t.job]
+	j.remaining--
+	if j.remaining == 0 && !t.job.callerLeft {
+		i.world.answered(t.job, assigner.Answer{Outcome: assigner.OutcomeCompleted})
 	}
-	i.place()
+	i.dispatch()
 }
--- a/internal/replayer/replayer.go
+++ b/internal/replayer/replayer.go
@@ -1,10 +1,10 @@
-// Package replayer plays load patterns in virtual time over the real decisions of
-// entries and agents.
+// Package replayer simulates load patterns in virtual time against the real decision
+// code of entries and agents.
 //
-// A [Pattern] says which entries and upstreams there are, which jobs arrive and what
-// goes wrong. [Play] runs assigners and runners, whose frames take the time of the
-// network, against models of upstreams, and returns what callers saw and which
-// promises were broken. Nothing but the pattern and its seed has an influence.
+// A [Pattern] describes the entries and upstreams, the jobs that arrive, and the faults.
+// [Play] runs assigners and runners, connected by links with network delays, against
+// models of upstreams. It returns the outcomes that callers saw and the violations of
+// guarantees. The result depends only on the pattern and the seed.
 package replayer
 
 import (
@@ -24,19 +24,19 @@
 const (
 	// localDelay is the time of a call between an agent and its upstream.
 	localDelay = 300 * time.Microsecond
-	// tickEvery is the period at which a process looks at the time.
-	tickEvery = 20 * time.Millisecond
-	// askFor, callTimeout and startTries are those of an agent's process.
-	askFor      = 60 * time.Millisecond
-	callTimeout = 50 * time.Millisecond
-	startTries  = 4
-	// connectDelay is the time from the end of a connection to the next.
-	connectDelay = 200 * time.Millisecond
-	// settleFor is played after the last arrival, so that every job has its answer.
-	settleFor = 12 * time.Second
+	// tickInterval is the period at which a process runs its timers.
+	tickInterval = 20 * time.Millisecond
+	// pollTimeout, callTimeout and maxStartAttempts equal the settings of an agent's process.
+	pollTimeout      = 60 * time.Millisecond
+	callTimeout      = 50 * time.Millisecond
+	maxStartAttempts = 4
+	// reconnectDelay is the time that a new connection takes to establish.
+	reconnectDelay = 200 * time.Millisecond
+	// settleTime is simulated after the last arrival, so that every job is answered.
+	settleTime = 12 * time.Second
 )
 
-// limits are those of processes on the users' platform.
+// The limits equal those of processes on the users' platform.
 var (
 	runnerLimits = runner.Limits{
 		LivenessTimeout: 650 * time.Millisecond, LeaseDuration: 800 * time.Millisecond, StopRetryInterval: 60 * time.Millisecond,
@@ -50,18 +50,18 @@
 	}
 )
 
-// event is something that happens at a time.
+// event is a function that runs at a virtual time.
 type event struct {
-	at    time.Duration
-	order uint64 // order keeps events of one time in the order in which they were made.
-	do    func()
+	at       time.Duration
+	sequence uint64 // sequence orders events of the same time by creation.
+	run      func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
@@ -76,36 +76,36 @@
 	return x
 }
 
-// world is one replay.
+// world holds the state of one simulation.
 type world struct {
 	pattern Pattern
 	random  *rand.Rand
-	// arriving has random numbers for the jobs alone, so that they are the same
-	// whatever becomes of them.
-	arriving *rand.Rand
-	// deliver submits a job to the system under test.
-	deliver func(*call)
-	now     time.Duration
-	events  events
-	order   uint64
-	entries []*entry
-	agents  []*agent
-	jobs    map[string]*call
-	result  Result
-	frame   bytes.Buffer // frame is used again for each encoding.
+	// arrivalRandom is used only to draw jobs, so that the decisions under test do not
+	// influence which jobs arrive.
+	arrivalRandom *rand.Rand
+	// submitJob submits a job to the system under test.
+	submitJob    func(*callerJob)
+	now          time.Duration
+	events       events
+	lastSequence uint64
+	entries      []*entry
+	agents       []*agent
+	jobs         map[string]*callerJob
+	result       Result
+	encodeBuffer bytes.Buffer // encodeBuffer is reused for each frame.
 }
 
 func newWorld(p Pattern, seed uint64) *world {
 	return &world{
-		pattern: p, jobs: make(map[string]*call),
-		random: rand.New(rand.NewPCG(seed, 1)), arriving: rand.New(rand.NewPCG(seed, 2)),
+		pattern: p, jobs: make(map[string]*callerJob),
+		random: rand.New(rand.NewPCG(seed, 1)), arrivalRandom: rand.New(rand.NewPCG(seed, 2)),
 	}
 }
 
-// Play plays a pattern with a seed.
+// Play simulates a pattern with a seed.
 func Play(p Pattern, seed uint64) Result {
 	w := newWorld(p, seed)
-	w.deliver = w.submit
+	w.submitJob = w.submit
 	for i := range p.Entries {
 		w.entries = append(w.entries, newEntry(w, i))
 	}
@@ -113,37 +113,37 @@
 		w.agents = append(w.agents, newAgent(w, i))
 	}
 	for _, f := range p.Faults {
-		w.at(f.At, func() { w.strike(f) })
+		w.at(f.At, func() { w.injectFault(f) })
 	}
 	return w.play()
 }
 
-// play lets time pass until every job has its answer.
+// play runs all events until the settle time after the last arrival has passed.
 func (w *world) play() Result {
-	w.arrivals()
-	end := w.pattern.Duration + settleFor
+	w.startArrivals()
+	end := w.pattern.Duration + settleTime
 	for len(w.events) > 0 && w.events[0].at <= end {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		e.do()
+		e.run()
 	}
 	w.finish()
 	return w.result
 }
 
-func (w *world) at(t time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.events, event{at: max(t, w.now), order: w.order, do: do})
+func (w *world) at(t time.Duration, run func()) {
+	w.lastSequence++
+	heap.Push(&w.events, event{at: max(t, w.now), sequence: w.lastSequence, run: run})
 }
 
-func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
+func (w *world) after(d time.Duration, run func()) { w.at(w.now+d, run) }
 
-// breach notes a broken promise.
-func (w *world) breach(format string, args ...any) {
+// violation records the violation of a guarantee.
+func (w *world) violation(format string, args ...any) {
 	w.result.Violations = append(w.result.Violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-// networkDelay is the one-way time between two processes.
+// networkDelay returns the one-way latency between an entry and an agent.
 func (w *world) networkDelay(entry, agent int) time.Duration {
 	if w.dataCentre(entry) == w.dataCentre(agent) {
 		return 200 * time.Microsecond
@@ -151,73 +151,75 @@
 	return 1500 * time.Microsecond
 }
 
-// dataCentre spreads the processes of a role over three data centres.
+// dataCentre returns the data centre of a process. The processes of each role are spread
+// over three.
 func (w *world) dataCentre(index int) string { return fmt.Sprintf("dc-%d", index%3) }
 
-// entry is an entry's process.
+// entry is an entry process.
 type entry struct {
-	world    *world
-	index    int
-	life     int // life counts the runs of the process.
-	peer     messenger.Peer
-	assigner *assigner.Assigner
-	agents   map[messenger.Peer]*link
-	tickets  map[uint64]*call
-	ticket   uint64
-	down     bool
-	cut      bool          // cut means that it reaches no agent.
-	unready  time.Duration // unready is since when it has not been ready; 0 if it is.
-	// frozen means that the process does not run; what comes is kept.
+	world        *world
+	index        int
+	incarnation  int // incarnation counts the starts of the process.
+	peer         messenger.Peer
+	assigner     *assigner.Assigner
+	agents       map[messenger.Peer]*link
+	tickets      map[uint64]*callerJob
+	lastTicket   uint64
+	down         bool
+	partitioned  bool          // While partitioned, the entry reaches no agent and accepts no connection.
+	unreadySince time.Duration // unreadySince is when the entry stopped being ready; 0 while it is ready.
+	// While frozen, the process does not run, and its events wait in the backlog.
 	frozen  bool
 	backlog []func()
 }
 
 // link is one connection between an entry and an agent.
 type link struct {
-	entry  *entry
-	agent  *agent
-	closed bool
-	cut    bool // cut means that nothing gets through any more.
+	entry       *entry
+	agent       *agent
+	closed      bool
+	partitioned bool // A partitioned link drops all further frames.
 }
 
 func newEntry(w *world, index int) *entry {
 	e := &entry{world: w, index: index}
-	e.begin()
+	e.startProcess()
 	e.tick()
 	return e
 }
 
-func (e *entry) begin() {
-	e.life++
-	e.peer = messenger.Peer(fmt.Sprintf("entry-%d-%d", e.index, e.life))
+func (e *entry) startProcess() {
+	e.incarnation++
+	e.peer = messenger.Peer(fmt.Sprintf("entry-%d-%d", e.index, e.incarnation))
 	e.assigner = assigner.New(assignerLimits, e.world.dataCentre(e.index), e.world.random)
 	e.assigner.SetEntries(e.world.pattern.Entries)
 	e.agents = make(map[messenger.Peer]*link)
-	e.tickets = make(map[uint64]*call)
+	e.tickets = make(map[uint64]*callerJob)
 	e.down = false
 }
 
 func (e *entry) tick() {
 	e.run(func() {})
-	e.world.after(tickEvery, e.tick)
+	e.world.after(tickInterval, e.tick)
 }
 
-// run has the process do something, and what it decides then.
-func (e *entry) run(do func()) {
+// run handles an event in the process and carries out the assigner's output. A frozen
+// process queues the event until it is unfrozen.
+func (e *entry) run(handle func()) {
 	if e.down {
 		return
 	}
 	if e.frozen {
-		e.backlog = append(e.backlog, do)
+		e.backlog = append(e.backlog, handle)
 		return
 	}
-	do()
+	handle()
 	e.world.result.Wakeups++
 	out := e.assigner.Advance(e.world.now)
 	if e.assigner.Serving(e.world.now) {
-		e.unready = 0
-	} else if e.unready == 0 {
-		e.unready = e.world.now
+		e.unreadySince = 0
+	} else if e.unreadySince == 0 {
+		e.unreadySince = e.world.now
 	}
 	for _, a := range out.Answers {
 		if c := e.tickets[a.Ticket]; c != nil {
@@ -247,8 +249,8 @@
 	}
 }
 
-// thaw lets a frozen process go on.
-func (e *entry) thaw() {
+// unfreeze continues a frozen process and handles the events in its backlog.
+func (e *entry) unfreeze() {
 	e.frozen = false
 	backlog := e.backlog
 	e.backlog = nil
@@ -257,22 +259,22 @@
 	}
 }
 
-// count adds a frame to the traffic of an entry, in both directions.
-func (w *world) count(entry int, f *messenger.Frame) {
-	w.frame.Reset()
-	if err := messenger.Append(&w.frame, f); err != nil {
-		w.breach("a frame cannot be encoded: %v", err)
+// countFrame adds a frame to the traffic of an entry. Frames of both directions count.
+func (w *world) countFrame(entry int, f *messenger.Frame) {
+	w.encodeBuffer.Reset()
+	if err := messenger.Append(&w.encodeBuffer, f); err != nil {
+		w.violation("a frame cannot be encoded: %v", err)
 	}
 	w.result.Frames++
-	*slot(&w.result.EntryBytes, entry) += w.frame.Len()
+	*elementAt(&w.result.EntryBytes, entry) += w.encodeBuffer.Len()
 }
 
-// delay is the one-way time of the connection.
+// delay returns the one-way latency of the connection.
 func (l *link) delay() time.Duration { return l.agent.world.networkDelay(l.entry.index, l.agent.index) }
 
 func (l *link) toAgent(f *messenger.Frame) {
-	l.agent.world.count(l.entry.index, f)
-	if l.cut {
+	l.agent.world.countFrame(l.entry.index, f)
+	if l.partitioned {
 		return
 	}
 	l.agent.world.after(l.delay(), func() {
@@ -285,37 +287,37 @@
 }
 
 func (l *link) toEntry(f *messenger.Frame) {
-	l.agent.world.count(l.entry.index, f)
-	if l.cut {
+	l.agent.world.countFrame(l.entry.index, f)
+	if l.partitioned {
 		return
 	}
-	life := l.entry.life
+	incarnation := l.entry.incarnation
 	l.agent.world.after(l.delay(), func() {
 		l.entry.run(func() {
-			if !l.closed && l.entry.life == life {
+			if !l.closed && l.entry.incarnation == incarnation {
 				l.entry.assigner.Receive(l.agent.world.now, l.agent.peer, f)
 			}
 		})
 	})
 }
 
-// close ends the connection; both sides learn of it, unless it was cut.
+// close closes the connection. Both sides are notified after its latency.
 func (l *link) close() {
 	if l.closed {
 		return
 	}
 	l.closed = true
 	w := l.agent.world
-	life, peer := l.entry.life, l.agent.peer
+	incarnation, peer := l.entry.incarnation, l.agent.peer
 	w.after(l.delay(), func() {
 		l.entry.run(func() {
-			if l.entry.life == life && l.entry.agents[peer] == l {
+			if l.entry.incarnation == incarnation && l.entry.agents[peer] == l {
 				delete(l.entry.agents, peer)
 				l.entry.assigner.AgentDown(w.now, peer)
 			}
 		})
 	})
 	w.after(l.delay(), func() {
-		l.agent.run(func() { l.agent.dropped(l) })
+		l.agent.run(func() { l.agent.connectionClosed(l) })
 	})
 }
--- a/internal/replayer/replayer_test.go
+++ b/internal/replayer/replayer_test.go
@@ -9,10 +9,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The shares of the ideal's worth that the users ask for.
+// The least ratios of the earned value to that of the ideal scheduler that users require.
 const (
-	calmShare  = 0.95
-	faultShare = 0.85
+	minCalmShare  = 0.95
+	minFaultShare = 0.85
 )
 
 func loadPattern(t *testing.T, path string) Pattern {
@@ -28,8 +28,8 @@
 	return p
 }
 
-// TestPatterns plays each pattern of the data files and checks the promises, and
-// that what callers get is near what a single queue with full knowledge would give.
+// TestPatterns simulates each pattern in testdata and checks that no guarantee is violated
+// and that the earned value is close to that of the ideal scheduler.
 func TestPatterns(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.yaml")
 	if err != nil || len(paths) == 0 {
@@ -43,24 +43,24 @@
 			const seed = 1
 			r, best := Play(p, seed), PlayIdeal(p, seed)
 			if diff := cmp.Diff([]string(nil), r.Violations); diff != "" {
-				t.Errorf("broken promises (-want +got):\n%s", diff)
+				t.Errorf("violated guarantees (-want +got):\n%s", diff)
 			}
-			share := r.EarnedRatio() / best.EarnedRatio()
+			ratio := r.EarnedRatio() / best.EarnedRatio()
 			t.Logf(name+": worth %.3f, ideal %.3f, share %.3f, worst window %.3f of %.3f; %d jobs, %d in time, %d late, %d rejected, %d given up, %d failed, %d starts",
-				r.EarnedRatio(), best.EarnedRatio(), share, r.LowestWindowRatio(), best.LowestWindowRatio(), r.Jobs, r.InTime, r.Late, r.Rejected, r.GivenUp, r.Failed, r.Starts)
-			bound := faultShare
+				r.EarnedRatio(), best.EarnedRatio(), ratio, r.LowestWindowRatio(), best.LowestWindowRatio(), r.Jobs, r.InTime, r.Late, r.Rejected, r.GivenUp, r.Failed, r.Starts)
+			bound := minFaultShare
 			if name == "calm" {
-				bound = calmShare
+				bound = minCalmShare
 			}
-			if share < bound {
-				t.Errorf("the share of the ideal's worth is %.3f, below %.2f", share, bound)
+			if ratio < bound {
+				t.Errorf("the value relative to the ideal is %.3f, below %.2f", ratio, bound)
 			}
 		})
 	}
 }
 
-// TestRepeatable checks that a replay depends on nothing but its pattern and seed.
-func TestRepeatable(t *testing.T) {
+// TestDeterministic checks that a simulation depends only on its pattern and seed.
+func TestDeterministic(t *testing.T) {
 	p := loadPattern(t, "testdata/burst-and-hang.yaml")
 	if diff := cmp.Diff(Play(p, 7), Play(p, 7)); diff != "" {
 		t.Errorf("two plays of one seed (-first +second):\n%s", diff)
--- a/internal/replayer/result.go
+++ b/internal/replayer/result.go
@@ -11,68 +11,71 @@
 )
 
 const (
-	// stretch is how often a job may take its longest task to be in time.
-	stretch = 1.6
-	// lateFactor and lateWorth are up to how many objectives an answer is late, and the
-	// share that it is worth then.
+	// slowdownFactor times the run time of its longest task, plus the latency allowance, is
+	// the objective of a job.
+	slowdownFactor = 1.6
+	// An answer after the objective but within lateFactor times the objective is late, and
+	// earns the share lateValue of the job's value. A later one earns nothing.
 	lateFactor = 3
-	lateWorth  = 0.2
-	// resubmitAfter is how long a caller waits to send a job again whose connection broke.
+	lateValue  = 0.2
+	// resubmitAfter is the delay before a caller resubmits a job after its connection broke.
 	resubmitAfter = 1300 * time.Millisecond
-	// maxAttempts is how often a task may fail.
+	// maxAttempts is the number of attempts that each task has.
 	maxAttempts = 4
 	windowSize  = 2 * time.Second
-	// balancerNotice is how long an entry must not be ready until callers are sent elsewhere.
-	balancerNotice = 2 * time.Second
+	// balancerDelay is how long an entry must be unready before the load balancer skips it.
+	balancerDelay = 2 * time.Second
 )
 
-// call is a caller's job.
-type call struct {
-	kind     Kind
-	id       string
-	room     messenger.Resources
-	takes    []time.Duration // takes has the run time of each task on a sound upstream.
-	declared time.Duration
-	arrived  time.Duration
-	longest  time.Duration
-	hopeless bool
-	left     bool
-	done     bool
-	entry    *entry
-	first    int // first is the entry that the job came to first.
-	job      assigner.Job
-	runs     int  // runs counts the starts of its tasks.
-	rejected bool // rejected means that every answer was a rejection.
-	returns  int  // returns counts how often the caller has come back after a rejection.
-	active   map[messenger.TaskRef]int
+// callerJob is a job and the state of the caller that submits it.
+type callerJob struct {
+	kind           Kind
+	id             string
+	resources      messenger.Resources
+	runTimes       []time.Duration // runTimes holds the run time of each task on a healthy upstream.
+	declared       time.Duration
+	arrived        time.Duration
+	longestTask    time.Duration
+	alwaysFails    bool
+	callerLeft     bool
+	done           bool
+	entry          *entry
+	firstEntry     int // firstEntry is the index of the first entry that received the job.
+	job            assigner.Job
+	starts         int  // starts counts the starts of its tasks.
+	onlyRejections bool // onlyRejections is true while every answer has been a rejection.
+	retries        int  // retries counts the caller's retries after rejections.
+	running        map[messenger.TaskRef]int
 }
 
-// Result is what callers saw.
+// Result holds the outcomes that callers saw, and the costs.
 type Result struct {
 	Offered, Earned           float64
 	Jobs, InTime, Late        int
 	Rejected, GivenUp, Failed int
 	ByKind                    map[string]Value
 	Windows                   []Value
-	ByEntry                   []Value // ByEntry has the shares of the entries that jobs came to first.
-	// Returned counts the rejected callers that came back when they were told to, and
-	// Served those of them that were in time then, or the next times.
+	ByEntry                   []Value // ByEntry is indexed by the first entry that received a job.
+	// Retried counts the rejected callers that retried after the time in their answer, and
+	// RetriedInTime those whose job was then answered in time, in any of their retries.
 	Retried, RetriedInTime int
 	RejectedBy             []int // RejectedBy counts the rejections in each window.
-	// RejectedInVain counts the jobs that were rejected while sound upstreams had room for
-	// all of their tasks, and all that waited, and they could still be in time.
+	// RejectedDespiteCapacity counts the jobs that were rejected although they could still be
+	// in time and healthy upstreams had free capacity for all of their tasks and for all
+	// pending tasks.
 	RejectedDespiteCapacity int
 	Violations              []string
 	Starts                  int
-	Wakeups                 int   // Wakeups counts how often a process has had something to do.
+	Wakeups                 int   // Wakeups counts the events that processes handled.
 	Frames                  int   // Frames counts the messages between entries and agents.
-	EntryBytes              []int // EntryBytes has the bytes that each entry has sent and received.
+	EntryBytes              []int // EntryBytes holds the bytes that each entry sent and received.
 }
 
-// Share is what was earned of what was owed.
+// Value holds the value of the jobs that callers submitted and how much of it their
+// answers earned.
 type Value struct{ Offered, Earned float64 }
 
-// Worth returns the share of the worth that was earned.
+// EarnedRatio returns the earned share of the offered value.
 func (s Value) EarnedRatio() float64 {
 	if s.Offered == 0 {
 		return 1
@@ -80,10 +83,10 @@
 	return s.Earned / s.Offered
 }
 
-// Worth returns the share of the worth that was earned.
+// EarnedRatio returns the earned share of the offered value.
 func (r *Result) EarnedRatio() float64 { return Value{r.Offered, r.Earned}.EarnedRatio() }
 
-// WorstWindow returns the share that was earned in the worst two seconds.
+// LowestWindowRatio returns the lowest earned ratio of all windows of two seconds.
 func (r *Result) LowestWindowRatio() float64 {
 	worst := 1.0
 	for _, s := range r.Windows {
@@ -92,46 +95,46 @@
 	return worst
 }
 
-// arrive makes a job of a kind and submits it.
+// arrive draws a job of a kind and submits it.
 func (w *world) arrive(k Kind) {
-	r := w.arriving
-	c := &call{
-		kind: k, id: fmt.Sprintf("%016x", r.Uint64()), arrived: w.now, rejected: true,
-		room:   messenger.Resources{MilliCPU: int64(spread(r, float64(k.MilliCPU), 0.2, 1.45)), MemoryBytes: 64 << 20},
-		active: make(map[messenger.TaskRef]int),
-	}
-	mean := spread(r, float64(k.RunTime), 0.4, 4)
-	for range max(1, int(spread(r, k.Tasks, 0.4, 4)+0.5)) {
+	r := w.arrivalRandom
+	c := &callerJob{
+		kind: k, id: fmt.Sprintf("%016x", r.Uint64()), arrived: w.now, onlyRejections: true,
+		resources: messenger.Resources{MilliCPU: int64(drawLogNormal(r, float64(k.MilliCPU), 0.2, 1.45)), MemoryBytes: 64 << 20},
+		running:   make(map[messenger.TaskRef]int),
+	}
+	mean := drawLogNormal(r, float64(k.RunTime), 0.4, 4)
+	for range max(1, int(drawLogNormal(r, k.Tasks, 0.4, 4)+0.5)) {
 		took := time.Duration(mean * (1 + 0.15*(2*r.Float64()-1)))
-		c.takes = append(c.takes, took)
-		c.longest = max(c.longest, took)
+		c.runTimes = append(c.runTimes, took)
+		c.longestTask = max(c.longestTask, took)
 	}
 	c.declared = time.Duration(mean * (1 + 0.4*(2*r.Float64()-1)))
-	for _, f := range w.active(FaultFailingJobs, k.Name) {
-		c.hopeless = c.hopeless || r.Float64() < f.Factor
+	for _, f := range w.activeFaults(FaultFailingJobs, k.Name) {
+		c.alwaysFails = c.alwaysFails || r.Float64() < f.Factor
 	}
 	w.jobs[c.id] = c
 	w.result.Jobs++
-	for _, f := range w.active(FaultCallersLeave, k.Name) {
+	for _, f := range w.activeFaults(FaultCallersLeave, k.Name) {
 		if r.Float64() < f.Factor {
-			w.after(f.Delay, func() { w.leave(c) })
+			w.after(f.Delay, func() { w.callerLeft(c) })
 		}
 	}
 	c.job = assigner.Job{
-		ID: c.id, Queue: k.Name, Service: service, Priority: k.Priority, SlowdownFactor: stretch, LatencyAllowance: k.LatencyAllowance,
+		ID: c.id, Queue: k.Name, Service: service, Priority: k.Priority, SlowdownFactor: slowdownFactor, LatencyAllowance: k.LatencyAllowance,
 		CallerTimeout: k.CallerTimeout, MaxAttempts: maxAttempts,
-		Steps: []assigner.Step{{Count: len(c.takes), Resources: c.room, DeclaredRunTime: c.declared}},
+		Steps: []assigner.Step{{Count: len(c.runTimes), Resources: c.resources, DeclaredRunTime: c.declared}},
 	}
-	w.deliver(c)
+	w.submitJob(c)
 }
 
-func (w *world) submit(c *call) {
-	if c.done || c.left {
+func (w *world) submit(c *callerJob) {
+	if c.done || c.callerLeft {
 		return
 	}
-	e := w.entries[w.pick()]
+	e := w.entries[w.pickEntry()]
 	for range w.entries {
-		if !e.down && (e.unready == 0 || w.now-e.unready < balancerNotice) {
+		if !e.down && (e.unreadySince == 0 || w.now-e.unreadySince < balancerDelay) {
 			break
 		}
 		e = w.entries[(e.index+1)%len(w.entries)]
@@ -141,14 +144,14 @@
 		return
 	}
 	if c.entry == nil {
-		c.first = e.index
+		c.firstEntry = e.index
 	}
 	c.entry = e
 	w.after(2*time.Millisecond, func() {
 		e.run(func() {
-			e.ticket++
+			e.lastTicket++
 			j := c.job
-			j.Ticket = e.ticket
+			j.Ticket = e.lastTicket
 			j.CallerTimeout = c.arrived + c.kind.CallerTimeout - w.now
 			e.tickets[j.Ticket] = c
 			e.assigner.Submit(w.now, j)
@@ -159,8 +162,8 @@
 	})
 }
 
-// pick returns the entry that the balancer chooses.
-func (w *world) pick() int {
+// pickEntry returns the index of the entry that the load balancer chooses.
+func (w *world) pickEntry() int {
 	shares := w.pattern.Shares
 	if len(shares) == 0 {
 		return w.random.IntN(len(w.entries))
@@ -178,20 +181,20 @@
 	return len(shares) - 1
 }
 
-// resubmit sends a job again whose connection broke.
-func (w *world) resubmit(c *call) {
-	// The first request has no answer, so that not all of them are rejections.
-	c.rejected = false
+// resubmit submits a job again after its connection broke.
+func (w *world) resubmit(c *callerJob) {
+	// The interrupted request has no answer, so not every answer is a rejection.
+	c.onlyRejections = false
 	if w.now+resubmitAfter < c.arrived+c.kind.CallerTimeout {
 		w.after(resubmitAfter, func() { w.submit(c) })
 	}
 }
 
-func (w *world) leave(c *call) {
+func (w *world) callerLeft(c *callerJob) {
 	if c.done {
 		return
 	}
-	c.left = true
+	c.callerLeft = true
 	e := c.entry
 	if e == nil {
 		return
@@ -206,41 +209,41 @@
 	})
 }
 
-func (c *call) objective() time.Duration {
-	return time.Duration(stretch*float64(c.longest)) + c.kind.LatencyAllowance
+func (c *callerJob) objective() time.Duration {
+	return time.Duration(slowdownFactor*float64(c.longestTask)) + c.kind.LatencyAllowance
 }
 
-// worth returns what the job is worth: more for one with more work.
-func (c *call) worth() float64 {
-	work := float64(len(c.takes)) * c.longest.Seconds() / (c.kind.Tasks * c.kind.RunTime.Seconds())
+// value returns the value of the job, which grows with its work.
+func (c *callerJob) value() float64 {
+	work := float64(len(c.runTimes)) * c.longestTask.Seconds() / (c.kind.Tasks * c.kind.RunTime.Seconds())
 	return c.kind.Value * min(4, 0.3+0.7*work)
 }
 
-func (w *world) answered(c *call, a assigner.Answer) {
+func (w *world) answered(c *callerJob, a assigner.Answer) {
 	if c.done {
-		w.breach("job %s has two answers", c.id)
+		w.violation("job %s has two answers", c.id)
 	}
 	took := w.now - c.arrived
 	switch a.Outcome {
 	case assigner.OutcomeRejected:
 		c.done = true
-		w.refused(c, a)
+		w.rejected(c, a)
 		return
 	case assigner.OutcomeGivenUp, assigner.OutcomeCancelled:
 		w.result.GivenUp++
 		c.done = true
-		c.rejected = false
+		c.onlyRejections = false
 		return
 	case assigner.OutcomeFailed:
 		w.result.Failed++
-		if !c.hopeless {
+		if !c.alwaysFails {
 			c.done = true
-			c.rejected = false
+			c.onlyRejections = false
 			return
 		}
 	}
-	c.done, c.rejected = true, false
-	if c.returns > 0 {
+	c.done, c.onlyRejections = true, false
+	if c.retries > 0 {
 		if took <= c.objective() {
 			w.result.RetriedInTime++
 		}
@@ -249,119 +252,121 @@
 	earned := 0.0
 	switch {
 	case took <= c.objective():
-		earned = c.worth()
+		earned = c.value()
 		w.result.InTime++
 	case took <= lateFactor*c.objective():
-		earned = c.worth() * lateWorth
+		earned = c.value() * lateValue
 		w.result.Late++
 	}
-	w.credit(c, 0, earned)
+	w.addValue(c, 0, earned)
 }
 
-// maxReturns is how often a rejected caller comes back.
-const maxReturns = 3
+// maxRetries is how often a rejected caller retries.
+const maxRetries = 3
 
-// refused takes a rejection. A caller that follows it comes back with another job.
-func (w *world) refused(c *call, a assigner.Answer) {
+// rejected handles a rejection. A caller that follows Retry-After submits a new job.
+func (w *world) rejected(c *callerJob, a assigner.Answer) {
 	w.result.Rejected++
-	*slot(&w.result.RejectedBy, int(w.now/windowSize))++
-	if w.now+c.longest <= c.arrived+c.objective() && w.room(c) {
+	*elementAt(&w.result.RejectedBy, int(w.now/windowSize))++
+	if w.now+c.longestTask <= c.arrived+c.objective() && w.hasCapacity(c) {
 		w.result.RejectedDespiteCapacity++
 	}
-	if !w.pattern.FollowRetryAfter || c.returns == maxReturns {
+	if !w.pattern.FollowRetryAfter || c.retries == maxRetries {
 		return
 	}
 	w.after(a.RetryAfter, func() {
 		next := *c
-		next.returns++
-		next.id = fmt.Sprintf("%s-%d", c.id, next.returns)
-		next.done, next.left, next.rejected = false, false, true
-		next.arrived, next.runs, next.active = w.now, 0, make(map[messenger.TaskRef]int)
+		next.retries++
+		next.id = fmt.Sprintf("%s-%d", c.id, next.retries)
+		next.done, next.callerLeft, next.onlyRejections = false, false, true
+		next.arrived, next.starts, next.running = w.now, 0, make(map[messenger.TaskRef]int)
 		next.job.ID = next.id
 		w.jobs[next.id] = &next
-		if next.returns == 1 {
+		if next.retries == 1 {
 			w.result.Retried++
 		}
-		w.deliver(&next)
+		w.submitJob(&next)
 	})
 }
 
-// room reports whether sound upstreams have room for all tasks of a job, beside those
-// that wait at entries.
-func (w *world) room(c *call) bool {
-	left := len(c.takes)
+// hasCapacity reports whether healthy upstreams have free capacity for all tasks of a job
+// in addition to the tasks that are pending at entries.
+func (w *world) hasCapacity(c *callerJob) bool {
+	remaining := len(c.runTimes)
 	for _, e := range w.entries {
 		_, pending := e.assigner.Counts()
-		left += pending
+		remaining += pending
 	}
 	for _, g := range w.agents {
 		u := g.upstream
-		if u.down || u.cut || u.leaving || u.hangs || u.failing > 0 || u.speed > 1 || g.down || g.frozen {
+		if u.down || u.unreachable || u.leaving || u.hanging || u.failRatio > 0 || u.slowdown > 1 || g.down || g.frozen {
 			continue
 		}
 		free := u.capacity
 		for _, r := range u.runs {
-			free = free.Sub(r.room)
+			free = free.Sub(r.resources)
 		}
-		for ; left > 0 && c.room.Fits(free); left-- {
-			free = free.Sub(c.room)
+		for ; remaining > 0 && c.resources.Fits(free); remaining-- {
+			free = free.Sub(c.resources)
 		}
 	}
-	return left == 0
+	return remaining == 0
 }
 
-// credit adds to what is owed or earned.
-func (w *world) credit(c *call, owed, earned float64) {
+// addValue adds to the offered and the earned value.
+func (w *world) addValue(c *callerJob, offered, earned float64) {
 	r := &w.result
 	if r.ByKind == nil {
 		r.ByKind = make(map[string]Value)
 	}
-	add := func(s Value) Value { return Value{s.Offered + owed, s.Earned + earned} }
-	r.Offered += owed
+	add := func(s Value) Value { return Value{s.Offered + offered, s.Earned + earned} }
+	r.Offered += offered
 	r.Earned += earned
 	r.ByKind[c.kind.Name] = add(r.ByKind[c.kind.Name])
-	for _, s := range []*Value{slot(&r.ByEntry, c.first), slot(&r.Windows, int(c.arrived/windowSize))} {
+	for _, s := range []*Value{elementAt(&r.ByEntry, c.firstEntry), elementAt(&r.Windows, int(c.arrived/windowSize))} {
 		*s = add(*s)
 	}
 }
 
-// slot returns the element of a slice at an index, up to which the slice is extended.
-func slot[T any](s *[]T, i int) *T {
+// elementAt returns a pointer to the element of a slice at an index, extending the slice
+// if it is shorter.
+func elementAt[T any](s *[]T, i int) *T {
 	if missing := i + 1 - len(*s); missing > 0 {
 		*s = append(*s, make([]T, missing)...)
 	}
 	return &(*s)[i]
 }
 
-// started checks the promises about a start.
+// started checks that a start exceeds no capacity and that no task runs twice.
 func (w *world) started(u *upstream, r *run) {
 	c := w.jobs[r.ref.Job]
-	c.runs++
+	c.starts++
 	w.result.Starts++
 	var used messenger.Resources
 	for _, other := range u.runs {
-		used = used.Add(other.room)
+		used = used.Add(other.resources)
 	}
 	if !used.Fits(u.capacity) {
-		w.breach("upstream %d runs %d of %d thousandths of a core", u.index, used.MilliCPU, u.capacity.MilliCPU)
+		w.violation("upstream %d runs %d of %d thousandths of a core", u.index, used.MilliCPU, u.capacity.MilliCPU)
 	}
-	c.active[r.ref]++
-	if c.active[r.ref] > 1 {
-		w.breach("task %v runs twice", r.ref)
+	c.running[r.ref]++
+	if c.running[r.ref] > 1 {
+		w.violation("task %v runs twice", r.ref)
 	}
 }
 
-func (w *world) stopped(r *run) { w.jobs[r.ref.Job].active[r.ref]-- }
+func (w *world) stopped(r *run) { w.jobs[r.ref.Job].running[r.ref]-- }
 
-// finish sums up, and checks the promises that hold at the end.
+// finish adds the offered value of all jobs, and checks that no task of a rejected job
+// was started.
 func (w *world) finish() {
 	for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
 		c := w.jobs[id]
-		if !c.left && c.returns == 0 {
-			w.credit(c, c.worth(), 0)
+		if !c.callerLeft && c.retries == 0 {
+			w.addValue(c, c.value(), 0)
 		}
-		if c.done && c.rejected && c.runs > 0 {
-			w.breach("job %s was rejected, and %d of its tasks started", c.id, c.runs)
+		if c.done && c.onlyRejections && c.starts > 0 {
+			w.violation("job %s was rejected, and %d of its tasks started", c.id, c.starts)
 		}
 	}
 }
--- a/internal/replayer/returning_test.go
+++ b/internal/replayer/retry_after_test.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// servedShare is the least share of the callers that come back when they are told to
-	// who are served in time then.
-	servedShare = 0.85
-	// secondWave is the most rejections in two seconds after an overload, as a share of
+	// minRetriedInTime is the least share of the callers that follow Retry-After whose job
+	// must then be answered in time.
+	minRetriedInTime = 0.85
+	// maxSecondWave bounds the rejections in any two seconds after an overload, as a share of
 	// those in its worst two seconds.
-	secondWave = 0.2
+	maxSecondWave = 0.2
 )
 
-// TestRetryAfter checks that callers who follow Retry-After are served, and that they do
-// not come back as a second wave.
+// TestRetryAfter checks that callers who follow Retry-After are answered in time, and that
+// their retries do not cause a second wave of rejections.
 func TestRetryAfter(t *testing.T) {
 	for _, name := range []string{"burst-1.9", "overload-uneven"} {
 		t.Run(name, func(t *testing.T) {
@@ -25,8 +25,8 @@
 			p.FollowRetryAfter = true
 			r := Play(p, 1)
 			t.Logf("%d rejected in all, %v by window; %d came back, %d served in time", r.Rejected, r.RejectedBy, r.Retried, r.RetriedInTime)
-			if share := float64(r.RetriedInTime) / float64(r.Retried); share < servedShare {
-				t.Errorf("%.3f of those who came back were served in time, below %.2f", share, servedShare)
+			if share := float64(r.RetriedInTime) / float64(r.Retried); share < minRetriedInTime {
+				t.Errorf("%.3f of the callers that retried were answered in time, below %.2f", share, minRetriedInTime)
 			}
 			checkSecondWave(t, p, r)
 		})
@@ -43,14 +43,15 @@
 	}
 	worst := slices.Max(r.RejectedBy)
 	for i := int(end/windowSize) + 1; i < len(r.RejectedBy); i++ {
-		if float64(r.RejectedBy[i]) > secondWave*float64(worst) {
+		if float64(r.RejectedBy[i]) > maxSecondWave*float64(worst) {
 			t.Errorf("%d rejections from second %d on, %d in the worst two", r.RejectedBy[i], 2*i, worst)
 		}
 	}
 }
 
-// TestNoneRejectedInVain checks that jobs are rejected only where none could be served.
-func TestNoneRejectedInVain(t *testing.T) {
+// TestNoRejectionDespiteCapacity checks that no job is rejected that healthy upstreams
+// could have run in time.
+func TestNoRejectionDespiteCapacity(t *testing.T) {
 	for _, name := range []string{"calm", "burst-1.3", "burst-1.9", "overload", "overload-uneven"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/replayer/upstream.go
+++ b/internal/replayer/upstream.go
@@ -9,154 +9,155 @@
 	"sardinelock.dev/sardinelock/internal/runner"
 )
 
-// service is the one that all jobs are for.
+// service is the service of all jobs.
 const service = "orders"
 
-// upstream is a model of an upstream that is driven by starts, stops and a lease. It
-// starts whatever it is told to.
+// upstream models an upstream that is controlled by start calls, stop calls and a lease.
+// It starts every task it is asked to, even beyond its capacity.
 type upstream struct {
-	world    *world
-	index    int
-	life     runner.Incarnation
-	capacity messenger.Resources
-	rack     string
-	speed    float64 // speed is the run time of a task by that on other upstreams.
-	runs     map[messenger.TaskRef]*run
-	ended    []runner.RunEnd
-	number   int64 // number is that of the latest end.
-	highest  map[messenger.TaskRef]uint64
-	fence    int // fence is the highest life of an agent that was seen.
-	lease    time.Duration
-	polls    []func()
-	down     bool
-	leaving  bool
-	cut      bool // cut means that no call reaches it, while what runs goes on.
-	hangs    bool
-	failing  float64 // failing is the share of tasks that fail at once.
-	late     float64 // late is the share of orders that are carried out late and without an answer.
+	world         *world
+	index         int
+	incarnation   runner.Incarnation
+	capacity      messenger.Resources
+	rack          string
+	slowdown      float64 // slowdown is the run time of a task relative to healthy upstreams.
+	runs          map[messenger.TaskRef]*run
+	unackedEnds   []runner.RunEnd
+	lastEndNumber int64 // lastEndNumber is the number of the latest end in unackedEnds.
+	highestRun    map[messenger.TaskRef]uint64
+	highestAgent  int // highestAgent is the highest agent incarnation seen; lower ones are fenced.
+	leaseUntil    time.Duration
+	waitingPolls  []func()
+	down          bool
+	leaving       bool
+	unreachable   bool // While unreachable, the upstream receives no call, but its tasks continue.
+	hanging       bool
+	failRatio     float64 // failRatio is the share of tasks that fail immediately.
+	lateRatio     float64 // lateRatio is the share of calls that take effect late and get no answer.
 }
 
 type run struct {
-	ref   messenger.TaskRef
-	run   uint64
-	room  messenger.Resources
-	begun time.Duration
-	takes time.Duration
-	hangs bool
-	over  bool
+	ref       messenger.TaskRef
+	number    uint64
+	resources messenger.Resources
+	startedAt time.Duration
+	runTime   time.Duration
+	hangs     bool
+	ended     bool
 }
 
 func newUpstream(w *world, index int) *upstream {
-	u := &upstream{world: w, index: index, speed: 1, rack: fmt.Sprintf("rack-%d", index/3)}
+	u := &upstream{world: w, index: index, slowdown: 1, rack: fmt.Sprintf("rack-%d", index/3)}
 	cpu := int64(16000)
 	if index%3 == 2 {
 		cpu = 24000
 	}
 	u.capacity = messenger.Resources{MilliCPU: cpu, MemoryBytes: 32 << 30}
-	u.begin()
+	u.reset()
 	return u
 }
 
-func (u *upstream) begin() {
-	u.life = runner.Incarnation{ID: fmt.Sprintf("upstream-%d-%d", u.index, u.life.Number+1), Number: u.life.Number + 1}
+func (u *upstream) reset() {
+	u.incarnation = runner.Incarnation{ID: fmt.Sprintf("upstream-%d-%d", u.index, u.incarnation.Number+1), Number: u.incarnation.Number + 1}
 	u.runs = make(map[messenger.TaskRef]*run)
-	u.highest = make(map[messenger.TaskRef]uint64)
-	u.ended, u.polls = nil, nil
-	u.fence, u.lease, u.number = 0, 0, 0
+	u.highestRun = make(map[messenger.TaskRef]uint64)
+	u.unackedEnds, u.waitingPolls = nil, nil
+	u.highestAgent, u.leaseUntil, u.lastEndNumber = 0, 0, 0
 	u.down, u.leaving = false, false
 }
 
 func (u *upstream) crash() {
 	for _, r := range u.runs {
-		u.gone(r)
+		u.remove(r)
 	}
-	u.begin()
+	u.reset()
 	u.down = true
 }
 
-// order carries out a call, now or late and without an answer.
-func (u *upstream) order(do func(lost bool)) {
-	if u.down || u.cut {
+// call handles a call from the agent. It is delayed and its answer lost with the
+// probability lateRatio.
+func (u *upstream) call(handle func(answerLost bool)) {
+	if u.down || u.unreachable {
 		return
 	}
-	if u.world.random.Float64() < u.late {
+	if u.world.random.Float64() < u.lateRatio {
 		u.world.after(2*time.Second+time.Duration(u.world.random.Int64N(int64(10*time.Second))), func() {
 			if !u.down {
-				do(true)
+				handle(true)
 			}
 		})
 		return
 	}
 	u.world.after(localDelay, func() {
 		if !u.down {
-			do(false)
+			handle(false)
 		}
 	})
 }
 
 func (u *upstream) fenced(agent int) bool {
-	u.fence = max(u.fence, agent)
-	return agent < u.fence
+	u.highestAgent = max(u.highestAgent, agent)
+	return agent < u.highestAgent
 }
 
 func (u *upstream) start(c runner.StartCall, agent int, deadline time.Duration) runner.Answer {
 	switch {
 	case u.fenced(agent):
 		return runner.AnswerRefused
-	case c.Incarnation.ID != u.life.ID:
+	case c.Incarnation.ID != u.incarnation.ID:
 		return runner.AnswerOtherIncarnation
-	case u.runs[c.Task] != nil && u.runs[c.Task].run == c.Run:
+	case u.runs[c.Task] != nil && u.runs[c.Task].number == c.Run:
 		return runner.AnswerStarted
-	case c.Run <= u.highest[c.Task]:
+	case c.Run <= u.highestRun[c.Task]:
 		return runner.AnswerStaleRun
 	case deadline < u.world.now:
 		return runner.AnswerRefused
 	}
 	call := u.world.jobs[c.Task.Job]
-	u.extend(deadline)
-	u.highest[c.Task] = c.Run
-	r := &run{ref: c.Task, run: c.Run, room: call.room, begun: u.world.now, hangs: u.hangs}
-	r.takes = time.Duration(float64(call.takes[c.Task.Index]) * u.speed)
+	u.extendLease(deadline)
+	u.highestRun[c.Task] = c.Run
+	r := &run{ref: c.Task, number: c.Run, resources: call.resources, startedAt: u.world.now, hangs: u.hanging}
+	r.runTime = time.Duration(float64(call.runTimes[c.Task.Index]) * u.slowdown)
 	u.runs[c.Task] = r
 	u.world.started(u, r)
 	switch {
-	case u.world.random.Float64() < u.failing || call.hopeless:
-		u.world.after(min(r.takes, 10*time.Millisecond), func() { u.end(r, messenger.EndFailed) })
+	case u.world.random.Float64() < u.failRatio || call.alwaysFails:
+		u.world.after(min(r.runTime, 10*time.Millisecond), func() { u.end(r, messenger.EndFailed) })
 	case !r.hangs:
-		u.world.after(r.takes, func() { u.end(r, messenger.EndDone) })
+		u.world.after(r.runTime, func() { u.end(r, messenger.EndDone) })
 	}
 	return runner.AnswerStarted
 }
 
 func (u *upstream) stop(c runner.StopCall, agent int) bool {
-	if u.fenced(agent) || c.Incarnation.ID != "" && c.Incarnation.ID != u.life.ID {
+	if u.fenced(agent) || c.Incarnation.ID != "" && c.Incarnation.ID != u.incarnation.ID {
 		return true
 	}
-	u.highest[c.Task] = max(u.highest[c.Task], c.Run)
-	if r := u.runs[c.Task]; r != nil && r.run <= c.Run {
+	u.highestRun[c.Task] = max(u.highestRun[c.Task], c.Run)
+	if r := u.runs[c.Task]; r != nil && r.number <= c.Run {
 		u.world.after(30*time.Millisecond, func() { u.end(r, messenger.EndWithdrawn) })
 	}
 	return true
 }
 
-// extend renews the lease, which ends everything when it lapses.
-func (u *upstream) extend(to time.Duration) {
-	if to <= u.lease {
+// extendLease renews the lease. When it expires, all runs end.
+func (u *upstream) extendLease(until time.Duration) {
+	if until <= u.leaseUntil {
 		return
 	}
-	u.lease = to
-	life := u.life
-	u.world.at(to+time.Millisecond, func() {
-		if u.life != life || u.lease > u.world.now {
+	u.leaseUntil = until
+	incarnation := u.incarnation
+	u.world.at(until+time.Millisecond, func() {
+		if u.incarnation != incarnation || u.leaseUntil > u.world.now {
 			return
 		}
-		for _, r := range u.sorted() {
+		for _, r := range u.sortedRuns() {
 			u.end(r, messenger.EndLost)
 		}
 	})
 }
 
-func (u *upstream) sorted() []*run {
+func (u *upstream) sortedRuns() []*run {
 	var runs []*run
 	for _, r := range u.runs {
 		runs = append(runs, r)
@@ -165,58 +166,60 @@
 	return runs
 }
 
-func (u *upstream) hold(q runner.PollRequest, agent int, answer func(runner.Listing)) {
+func (u *upstream) poll(request runner.PollRequest, agent int, answer func(runner.Listing)) {
 	if u.fenced(agent) {
 		return
 	}
-	if q.LeaseUntil > 0 {
-		u.extend(q.LeaseUntil)
+	if request.LeaseUntil > 0 {
+		u.extendLease(request.LeaseUntil)
 	}
-	u.ended = slices.DeleteFunc(u.ended, func(e runner.RunEnd) bool { return e.Number <= q.LastEnd && q.Incarnation.Number == u.life.Number })
+	u.unackedEnds = slices.DeleteFunc(u.unackedEnds, func(e runner.RunEnd) bool {
+		return e.Number <= request.LastEnd && request.Incarnation.Number == u.incarnation.Number
+	})
 	answered := false
-	life := u.life
+	incarnation := u.incarnation
 	reply := func() {
-		if !answered && u.life == life && !u.cut {
+		if !answered && u.incarnation == incarnation && !u.unreachable {
 			answered = true
 			answer(u.listing())
 		}
 	}
-	if len(u.ended) > 0 {
+	if len(u.unackedEnds) > 0 {
 		reply()
 		return
 	}
-	u.polls = append(u.polls, reply)
-	u.world.after(askFor, reply)
+	u.waitingPolls = append(u.waitingPolls, reply)
+	u.world.after(pollTimeout, reply)
 }
 
 func (u *upstream) listing() runner.Listing {
-	l := runner.Listing{Incarnation: runner.Incarnation{Number: u.life.Number}, Ended: slices.Clone(u.ended)}
-	for _, r := range u.sorted() {
+	l := runner.Listing{Incarnation: runner.Incarnation{Number: u.incarnation.Number}, Ended: slices.Clone(u.unackedEnds)}
+	for _, r := range u.sortedRuns() {
 		percent := 0
-		if !r.hangs && r.takes > 0 {
-			percent = int(100 * (u.world.now - r.begun) / r.takes)
+		if !r.hangs && r.runTime > 0 {
+			percent = int(100 * (u.world.now - r.startedAt) / r.runTime)
 		}
-		l.Running = append(l.Running, runner.Run{Task: r.ref, Run: r.run, Percent: percent})
+		l.Running = append(l.Running, runner.Run{Task: r.ref, Run: r.number, Percent: percent})
 	}
 	return l
 }
 
 func (u *upstream) end(r *run, kind messenger.EndKind) {
-	if r.over {
+	if r.ended {
 		return
 	}
-	u.gone(r)
-	u.number++
-	u.ended = append(u.ended, runner.RunEnd{Number: u.number, Task: r.ref, Run: r.run, Kind: kind})
-	polls := u.polls
-	u.polls = nil
+	u.remove(r)
+	u.lastEndNumber++
+	u.unackedEnds = append(u.unackedEnds, runner.RunEnd{Number: u.lastEndNumber, Task: r.ref, Run: r.number, Kind: kind})
+	polls := u.waitingPolls
+	u.waitingPolls = nil
 	for _, reply := range polls {
 		reply()
 	}
 }
 
-func (u *upstream) gone(r *run) {
-	r.over = true
+func (u *upstream) remove(r *run) {
+	r.ended = true
 	delete(u.runs, r.ref)
 	u.world.stopped(r)
 }
