--- a/internal/experimenter/push.go
+++ b/internal/experimenter/baseline.go
@@ -5,86 +5,87 @@
 	"time"
 )
 
-// Policy names a baseline that sends each task to some agent's queue at once.
+// Policy names a baseline, which sends each task to the queue of an agent on arrival.
 type Policy string
 
 // The baselines.
 const (
 	PolicyRandom     Policy = "random"
 	PolicyRoundRobin Policy = "round-robin"
-	// PolicyLeastOfTwo takes the less loaded of two agents drawn at random.
+	// PolicyLeastOfTwo chooses the less loaded of two agents drawn at random.
 	PolicyLeastOfTwo Policy = "least-of-two"
-	// PolicyPush takes the least loaded of four agents drawn at random. The agents'
-	// queues are bounded; a task that finds one full is placed again.
+	// PolicyPush chooses the least loaded of four agents drawn at random. The agents'
+	// queues are bounded; a task that finds its queue full is rescheduled.
 	PolicyPush Policy = "push"
 )
 
 const (
-	pushChoices = 4
-	pushBound   = 4
-	pushBackoff = 5 * time.Millisecond // pushBackoff doubles with every refusal of a task.
-	maxDoubling = 8
+	pushCandidates      = 4
+	maxPushQueue        = 4
+	pushBackoff         = 5 * time.Millisecond // pushBackoff doubles with each refusal of a task.
+	maxBackoffDoublings = 8
 )
 
-// RunPush runs a workload through a baseline. The load of an agent is what the
-// entry has outstanding there and what the agent's latest result said of others.
+// RunBaseline runs a workload through a baseline. An entry estimates the load of an agent
+// as its own outstanding tasks there and the load by other entries according to the
+// agent's latest message.
 func RunBaseline(sc *Scenario, w *Workload, policy Policy) *Result {
-	p := &pusher{
+	p := &baseline{
 		scenario: sc, workload: w, policy: policy,
-		clock:  &clock{},
-		random: rand.New(rand.NewPCG(sc.Seed, 4)),
-		result: &Result{Jobs: make([]JobResult, len(w.Jobs))},
-		tally:  newTally(),
-		left:   make([]int, len(w.Jobs)),
-		views:  make([][]view, sc.Entries),
-		queues: make([]pushQueue, sc.Agents),
+		clock:     &clock{},
+		random:    rand.New(rand.NewPCG(sc.Seed, 4)),
+		result:    &Result{Jobs: make([]JobResult, len(w.Jobs))},
+		messages:  newMessageCounter(),
+		remaining: make([]int, len(w.Jobs)),
+		views:     make([][]view, sc.Entries),
+		queues:    make([]pushQueue, sc.Agents),
 	}
 	for i := range p.views {
 		p.views[i] = make([]view, sc.Agents)
 	}
 	for i := range w.Jobs {
 		p.result.Jobs[i].Outcome = JobOpen
-		p.left[i] = len(w.Jobs[i].Tasks)
+		p.remaining[i] = len(w.Jobs[i].Tasks)
 		p.clock.at(w.Jobs[i].At, func() { p.arrive(i) })
 		if at := w.Jobs[i].CancelAt; at > 0 {
 			p.clock.at(at, func() { p.finish(i, JobCancelled) })
 		}
 	}
 	for _, f := range sc.Faults {
-		p.clock.at(f.At, func() { p.strike(&f) })
+		p.clock.at(f.At, func() { p.injectFault(&f) })
 	}
 	p.clock.run(sc.Duration + settleTime)
-	p.result.Messages = p.tally.messages
-	p.result.UsefulMessages = p.tally.useful()
+	p.result.Messages = p.messages.total
+	p.result.UsefulMessages = p.messages.useful()
 	return p.result
 }
 
-type pusher struct {
-	scenario *Scenario
-	workload *Workload
-	policy   Policy
-	clock    *clock
-	random   *rand.Rand
-	result   *Result
-	tally    *tally
-	left     []int
-	next     int // next is the agent that round robin takes next.
-	views    [][]view
-	queues   []pushQueue
-	anyDead  bool // anyDead means that entries have noticed dead agents.
+type baseline struct {
+	scenario        *Scenario
+	workload        *Workload
+	policy          Policy
+	clock           *clock
+	random          *rand.Rand
+	result          *Result
+	messages        *messageCounter
+	remaining       []int
+	roundRobinCount int // roundRobinCount counts the agents that round robin has chosen.
+	views           [][]view
+	queues          []pushQueue
+	crashesNoticed  bool // crashesNoticed is set when entries have detected the first crash of agents.
 }
 
-// view is what one entry knows of one agent.
+// view is what one entry knows about the load of one agent.
 type view struct {
 	outstanding int
-	others      int
+	otherLoad   int
 }
 
-// pushQueue is an agent that runs what it was sent in order of arrival.
+// pushQueue is an agent that runs its tasks in order of arrival.
 type pushQueue struct {
 	waiting []pushTask
 	running int
-	dead    bool
+	crashed bool
 }
 
 type pushTask struct {
@@ -93,7 +94,7 @@
 	refusals int
 }
 
-func (p *pusher) arrive(i int) {
+func (p *baseline) arrive(i int) {
 	j := &p.workload.Jobs[i]
 	batches := make([][]pushTask, p.scenario.Agents)
 	for n := range j.Tasks {
@@ -108,13 +109,13 @@
 	}
 }
 
-func (p *pusher) send(i, agent int, batch []pushTask) {
-	message := p.tally.message()
-	p.tally.start(pair{i, agent}, message)
+func (p *baseline) send(i, agent int, batch []pushTask) {
+	message := p.messages.count()
+	p.messages.recordStart(jobAgent{i, agent}, message)
 	p.clock.after(p.delay(i, agent), func() {
 		q := &p.queues[agent]
 		for _, t := range batch {
-			if p.policy == PolicyPush && q.running+len(q.waiting) >= p.scenario.Slots+pushBound {
+			if p.policy == PolicyPush && q.running+len(q.waiting) >= p.scenario.Slots+maxPushQueue {
 				p.refuse(t, agent)
 				continue
 			}
@@ -124,15 +125,15 @@
 	})
 }
 
-// refuse sends a task back to its entry, which places it again.
-func (p *pusher) refuse(t pushTask, agent int) {
-	p.tally.message()
+// refuse returns a task to its entry, which reschedules it after a backoff.
+func (p *baseline) refuse(t pushTask, agent int) {
+	p.messages.count()
 	load := p.queues[agent].running + len(p.queues[agent].waiting)
 	p.clock.after(p.delay(t.job, agent), func() {
 		entry := p.workload.Jobs[t.job].Entry
-		p.learn(entry, agent, load)
+		p.updateView(entry, agent, load)
 		t.refusals++
-		p.clock.after(pushBackoff<<min(t.refusals, maxDoubling), func() {
+		p.clock.after(pushBackoff<<min(t.refusals, maxBackoffDoublings), func() {
 			to := p.choose(entry)
 			p.views[entry][to].outstanding++
 			p.send(t.job, to, []pushTask{t})
@@ -140,9 +141,9 @@
 	})
 }
 
-func (p *pusher) startAt(agent int) {
+func (p *baseline) startAt(agent int) {
 	q := &p.queues[agent]
-	for len(q.waiting) > 0 && q.running < p.scenario.Slots && !q.dead {
+	for len(q.waiting) > 0 && q.running < p.scenario.Slots && !q.crashed {
 		t := q.waiting[0]
 		q.waiting = q.waiting[1:]
 		if p.result.Jobs[t.job].Outcome != JobOpen {
@@ -156,10 +157,10 @@
 	}
 }
 
-func (p *pusher) runTime(t pushTask, agent int) (took time.Duration, failed bool) {
+func (p *baseline) runTime(t pushTask, agent int) (took time.Duration, failed bool) {
 	took = p.workload.Jobs[t.job].Tasks[t.index].RunTime
 	if f := p.scenario.fault(FaultFailing, agent); f != nil && p.clock.now >= f.At {
-		return failAfter, true
+		return failureDelay, true
 	}
 	if f := p.scenario.fault(FaultSlow, agent); f != nil && p.clock.now >= f.At {
 		took = seconds(took.Seconds() * f.Factor)
@@ -167,36 +168,36 @@
 	return took, false
 }
 
-func (p *pusher) end(t pushTask, agent int, failed bool) {
+func (p *baseline) end(t pushTask, agent int, failed bool) {
 	q := &p.queues[agent]
-	if q.dead {
+	if q.crashed {
 		return
 	}
 	q.running--
-	message := p.tally.message()
-	p.tally.result(pair{t.job, agent}, message)
+	message := p.messages.count()
+	p.messages.recordResult(jobAgent{t.job, agent}, message)
 	load := q.running + len(q.waiting)
 	p.clock.after(p.delay(t.job, agent), func() {
-		p.learn(p.workload.Jobs[t.job].Entry, agent, load)
-		p.left[t.job]--
+		p.updateView(p.workload.Jobs[t.job].Entry, agent, load)
+		p.remaining[t.job]--
 		switch {
 		case failed:
 			p.finish(t.job, JobFailed)
-		case p.left[t.job] == 0:
+		case p.remaining[t.job] == 0:
 			p.finish(t.job, JobComplete)
 		}
 	})
 	p.startAt(agent)
 }
 
-// learn applies the load that a message of an agent tells.
-func (p *pusher) learn(entry, agent, load int) {
+// updateView applies the load that a message of an agent reports.
+func (p *baseline) updateView(entry, agent, load int) {
 	v := &p.views[entry][agent]
 	v.outstanding--
-	v.others = max(0, load-v.outstanding)
+	v.otherLoad = max(0, load-v.outstanding)
 }
 
-func (p *pusher) finish(i int, outcome JobOutcome) {
+func (p *baseline) finish(i int, outcome JobOutcome) {
 	if p.result.Jobs[i].Outcome != JobOpen {
 		return
 	}
@@ -206,13 +207,13 @@
 	}
 }
 
-// strike applies a fault that is not looked up when a task starts.
-func (p *pusher) strike(f *Fault) {
+// injectFault applies a crash. The other faults are looked up when a task starts.
+func (p *baseline) injectFault(f *Fault) {
 	switch f.Kind {
 	case FaultAgentsCrash:
 		for _, n := range f.Agents {
-			p.queues[n].dead = true
-			p.clock.after(noticeAfter, func() { p.queues[n].waiting = nil; p.anyDead = true })
+			p.queues[n].crashed = true
+			p.clock.after(disconnectDelay, func() { p.queues[n].waiting = nil; p.crashesNoticed = true })
 		}
 	case FaultEntryCrash:
 		for i := range p.workload.Jobs {
@@ -223,30 +224,30 @@
 	}
 }
 
-func (p *pusher) choose(entry int) int {
+func (p *baseline) choose(entry int) int {
 	for {
 		agent := p.draw(entry)
-		if !p.anyDead || !p.queues[agent].dead {
+		if !p.crashesNoticed || !p.queues[agent].crashed {
 			return agent
 		}
 	}
 }
 
-func (p *pusher) draw(entry int) int {
+func (p *baseline) draw(entry int) int {
 	agents := p.scenario.Agents
 	switch p.policy {
 	case PolicyRoundRobin:
-		p.next++
-		return p.next % agents
+		p.roundRobinCount++
+		return p.roundRobinCount % agents
 	case PolicyLeastOfTwo:
 		return p.leastOf(entry, 2)
 	case PolicyPush:
-		return p.leastOf(entry, pushChoices)
+		return p.leastOf(entry, pushCandidates)
 	}
 	return p.random.IntN(agents)
 }
 
-func (p *pusher) leastOf(entry, n int) int {
+func (p *baseline) leastOf(entry, n int) int {
 	best := p.random.IntN(p.scenario.Agents)
 	for range n - 1 {
 		other := p.random.IntN(p.scenario.Agents)
@@ -257,11 +258,11 @@
 	return best
 }
 
-func (p *pusher) load(entry, agent int) int {
+func (p *baseline) load(entry, agent int) int {
 	v := p.views[entry][agent]
-	return v.outstanding + v.others
+	return v.outstanding + v.otherLoad
 }
 
-func (p *pusher) delay(i, agent int) time.Duration {
+func (p *baseline) delay(i, agent int) time.Duration {
 	return delay(p.workload.Jobs[i].Entry, agent) + time.Duration(p.random.Int64N(int64(jitter)))
 }
--- a/internal/experimenter/clock.go
+++ b/internal/experimenter/clock.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// clock runs events in the order of their virtual time.
+// clock runs events in order of virtual time.
 type clock struct {
-	now    time.Duration
-	next   uint64
-	events eventHeap
+	now          time.Duration
+	lastSequence uint64
+	events       eventHeap
 }
 
 type event struct {
 	at       time.Duration
-	sequence uint64 // sequence keeps events of one time in the order of their making.
+	sequence uint64 // sequence orders events of the same time by creation.
 	run      func()
 }
 
-// after plans an event.
+// after schedules an event.
 func (c *clock) after(d time.Duration, run func()) { c.at(c.now+d, run) }
 
 func (c *clock) at(t time.Duration, run func()) {
-	c.next++
-	heap.Push(&c.events, event{at: t, sequence: c.next, run: run})
+	c.lastSequence++
+	heap.Push(&c.events, event{at: t, sequence: c.lastSequence, run: run})
 }
 
-// run runs all events up to the end.
+// run runs all events up to and including the end time.
 func (c *clock) run(end time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		e := heap.Pop(&c.events).(event)
@@ -58,20 +58,20 @@
 	return e
 }
 
-// link delays messages of one direction and keeps their order.
+// link delivers the messages of one direction with a delay, in order.
 type link struct {
-	clock  *clock
-	random *rand.Rand
-	delay  time.Duration
-	loss   float64
-	last   time.Duration // last is when the latest message arrives.
+	clock       *clock
+	random      *rand.Rand
+	delay       time.Duration
+	lossRatio   float64
+	lastArrival time.Duration // lastArrival is the arrival time of the latest message.
 }
 
 func (l *link) send(deliver func()) {
 	at := l.clock.now + l.delay + time.Duration(l.random.Int64N(int64(jitter)))
-	if l.loss > 0 && l.random.Float64() < l.loss {
+	if l.lossRatio > 0 && l.random.Float64() < l.lossRatio {
 		at += retransmit
 	}
-	l.last = max(l.last, at)
-	l.clock.at(l.last, deliver)
+	l.lastArrival = max(l.lastArrival, at)
+	l.clock.at(l.lastArrival, deliver)
 }
--- a/internal/experimenter/entrynode.go
+++ b/internal/experimenter/entrynode.go
@@ -7,26 +7,26 @@
 	"sardinelock.dev/sardinelock/internal/placer"
 )
 
-// entryNode is an entry: the real placer and the least of what an owner does.
+// entryNode is an entry: the real placer and a minimal model of an owner.
 type entryNode struct {
-	system *system
-	number int
-	placer *placer.Placer
-	conns  []*conn // conns has one connection an agent, indexed by the agent's number.
-	dead   bool
-	woken  bool          // woken means that a flush is planned for this moment.
-	sent   map[int][]int // sent has the agents of each open job's tasks, in order.
+	system       *system
+	number       int
+	placer       *placer.Placer
+	conns        []*conn // conns holds one connection per agent, indexed by the agent's number.
+	crashed      bool
+	flushPlanned bool
+	jobAgents    map[int][]int // jobAgents holds the agents that received tasks of each open job, in order.
 }
 
 // conn is a connection between an entry and an agent.
 type conn struct {
-	entry     *entryNode
-	agent     *agentNode
-	toAgent   *link
-	toEntry   *link
-	frame     *messenger.Frame // frame gathers what goes to the agent.
-	entryGone bool             // entryGone means that the agent has noticed the entry's end.
-	agentGone bool             // agentGone means that the entry has noticed the agent's end.
+	entry         *entryNode
+	agent         *agentNode
+	toAgent       *link
+	toEntry       *link
+	outgoing      *messenger.Frame // outgoing collects what the next flush sends to the agent; it may be nil.
+	agentNotified bool             // agentNotified is set when the agent has detected that the connection ended.
+	entryNotified bool             // entryNotified is set when the entry has detected that the connection ended.
 }
 
 func (e *entryNode) connect(a *agentNode) {
@@ -34,25 +34,25 @@
 	c := s.newConn(e, a)
 	e.conns = append(e.conns, c)
 	a.conns = append(a.conns, c)
-	if e.sent == nil {
-		e.sent = make(map[int][]int)
+	if e.jobAgents == nil {
+		e.jobAgents = make(map[int][]int)
 	}
-	s.meet(c)
+	s.connected(c)
 }
 
-// submit takes a job of a caller.
+// submit enqueues a job at the placer.
 func (e *entryNode) submit(i int, _ *Job) {
 	spec := e.system.spec(i)
 	if r := e.placer.Enqueue(e.system.now(), spec); r.Reason != "" {
 		e.system.result.Jobs[i].Outcome = JobRefused
 		return
 	}
-	e.wake()
+	e.planFlush()
 }
 
-// receive applies a frame of an agent.
+// receive applies a frame from an agent.
 func (e *entryNode) receive(c *conn, f *messenger.Frame) {
-	if e.dead || c.agentGone {
+	if e.crashed || c.entryNotified {
 		return
 	}
 	now := e.system.now()
@@ -66,12 +66,12 @@
 	for i := range f.Results {
 		e.result(c, &f.Results[i])
 	}
-	e.wake()
+	e.planFlush()
 }
 
 func (e *entryNode) result(c *conn, r *messenger.Result) {
 	s := e.system
-	i := s.numbers[r.Submission]
+	i := s.jobNumbers[r.Submission]
 	for _, t := range r.Tasks {
 		e.placer.Ended(s.now(), placer.End{
 			Agent:      agentPeer(c.agent.number),
@@ -94,13 +94,13 @@
 		e.placer.Requeue(s.now(), s.spec(i), t.Index)
 	case messenger.ResultFailed:
 		s.fail(i)
-		e.stop(i)
+		e.cancel(i)
 	default:
-		s.left[i]--
-		if s.left[i] > 0 {
+		s.remaining[i]--
+		if s.remaining[i] > 0 {
 			return
 		}
-		delete(e.sent, i)
+		delete(e.jobAgents, i)
 		s.result.Jobs[i] = JobResult{
 			Outcome:  JobComplete,
 			Response: s.clock.now - warmUp - s.workload.Jobs[i].At,
@@ -108,29 +108,29 @@
 	}
 }
 
-// stop drops the waiting tasks of a job and cancels it at its agents.
-func (e *entryNode) stop(i int) {
+// cancel drops the waiting tasks of a job and cancels the others at its agents.
+func (e *entryNode) cancel(i int) {
 	id := e.system.workload.Jobs[i].ID
 	e.placer.Drop(id)
-	for _, n := range e.sent[i] {
-		f := e.conns[n].pending()
+	for _, n := range e.jobAgents[i] {
+		f := e.conns[n].outgoingFrame()
 		f.Cancels = append(f.Cancels, messenger.Cancel{Submission: id, Epoch: 1})
 	}
-	delete(e.sent, i)
+	delete(e.jobAgents, i)
 }
 
-// wake plans a flush after the other events of this moment.
-func (e *entryNode) wake() {
-	if !e.woken {
-		e.woken = true
+// planFlush schedules a flush after the other events of the current time.
+func (e *entryNode) planFlush() {
+	if !e.flushPlanned {
+		e.flushPlanned = true
 		e.system.clock.after(0, e.flush)
 	}
 }
 
-// flush places what can be placed and sends what is ready.
+// flush schedules waiting tasks on agents and sends the collected frames.
 func (e *entryNode) flush() {
-	e.woken = false
-	if e.dead {
+	e.flushPlanned = false
+	if e.crashed {
 		return
 	}
 	s := e.system
@@ -138,17 +138,17 @@
 		e.start(a)
 	}
 	for n, c := range e.conns {
-		if c.frame == nil {
+		if c.outgoing == nil {
 			continue
 		}
-		f := c.frame
-		c.frame = nil
+		f := c.outgoing
+		c.outgoing = nil
 		if backlog := e.placer.Backlog(agentPeer(n)); backlog > 0 && len(f.Starts) > 0 {
 			f.Credit = &messenger.Credit{Backlog: backlog}
 		}
-		message := s.tally.message()
+		message := s.messages.count()
 		for i := range f.Starts {
-			s.tally.start(pair{s.numbers[f.Starts[i].Submission], n}, message)
+			s.messages.recordStart(jobAgent{s.jobNumbers[f.Starts[i].Submission], n}, message)
 		}
 		c.toAgent.send(func() { c.agent.receive(c, f) })
 	}
@@ -156,38 +156,38 @@
 
 func (e *entryNode) start(a placer.Assignment) {
 	s := e.system
-	job := s.numbers[a.Submission]
+	job := s.jobNumbers[a.Submission]
 	n := s.agentNumbers[a.Agent]
-	start := messenger.Start{Submission: a.Submission, Epoch: 1, StartBy: s.clock.now + startBudget, EndBy: time.Hour, RemainingWork: a.Work}
+	start := messenger.Start{Submission: a.Submission, Epoch: 1, StartBy: s.clock.now + startTimeout, EndBy: time.Hour, RemainingWork: a.Work}
 	for _, index := range a.Tasks {
 		start.Tasks = append(start.Tasks, messenger.TaskStart{Index: index})
 	}
-	f := e.conns[n].pending()
+	f := e.conns[n].outgoingFrame()
 	f.Starts = append(f.Starts, start)
-	e.noteSent(job, n)
+	e.addJobAgent(job, n)
 }
 
-func (e *entryNode) noteSent(job, agent int) {
-	for _, n := range e.sent[job] {
+func (e *entryNode) addJobAgent(job, agent int) {
+	for _, n := range e.jobAgents[job] {
 		if n == agent {
 			return
 		}
 	}
-	e.sent[job] = append(e.sent[job], agent)
+	e.jobAgents[job] = append(e.jobAgents[job], agent)
 }
 
-// agentLost applies the end of a connection: the jobs with tasks there fail.
-func (e *entryNode) agentLost(c *conn) {
-	c.agentGone = true
-	if e.dead {
+// connectionClosed handles the end of a connection. Open jobs with tasks at the agent fail.
+func (e *entryNode) connectionClosed(c *conn) {
+	c.entryNotified = true
+	if e.crashed {
 		return
 	}
 	e.placer.AgentDown(e.system.now(), agentPeer(c.agent.number))
 	for i := range e.system.workload.Jobs {
-		for _, n := range e.sent[i] {
+		for _, n := range e.jobAgents[i] {
 			if n == c.agent.number && e.system.result.Jobs[i].Outcome == JobOpen {
 				e.system.fail(i)
-				e.stop(i)
+				e.cancel(i)
 				break
 			}
 		}
@@ -195,9 +195,9 @@
 	e.flush()
 }
 
-// die ends the entry and its jobs.
-func (e *entryNode) die() {
-	e.dead = true
+// crash ends the entry and fails its jobs.
+func (e *entryNode) crash() {
+	e.crashed = true
 	for i := range e.system.workload.Jobs {
 		j := &e.system.workload.Jobs[i]
 		if j.Entry == e.number && warmUp+j.At <= e.system.clock.now {
@@ -205,13 +205,13 @@
 		}
 	}
 	for _, c := range e.conns {
-		e.system.clock.after(noticeAfter, func() { c.agent.entryLost(c) })
+		e.system.clock.after(disconnectDelay, func() { c.agent.connectionClosed(c) })
 	}
 }
 
-func (c *conn) pending() *messenger.Frame {
-	if c.frame == nil {
-		c.frame = &messenger.Frame{}
+func (c *conn) outgoingFrame() *messenger.Frame {
+	if c.outgoing == nil {
+		c.outgoing = &messenger.Frame{}
 	}
-	return c.frame
+	return c.outgoing
 }
--- a/internal/experimenter/experiment_test.go
+++ b/internal/experimenter/experiment_test.go
@@ -15,8 +15,8 @@
 	scripter.Run(t, "testdata/*.txtar", runScenario)
 }
 
-// bench is one scenario with the results that its script asked for.
-type bench struct {
+// scenarioRun is the execution of one script: its scenario and the latest results.
+type scenarioRun struct {
 	t        *testing.T
 	scenario Scenario
 	settings Settings
@@ -30,7 +30,7 @@
 
 func runScenario(t *testing.T, lines []scripter.Line) string {
 	t.Parallel()
-	b := &bench{t: t, include: func(*Job) bool { return true }, scenario: Scenario{
+	b := &scenarioRun{t: t, include: func(*Job) bool { return true }, scenario: Scenario{
 		Seed: 1, Duration: time.Minute, Entries: 3, Agents: 11, Slots: 8, Teams: 6,
 		Sizes: SizeUsual, DeclaredError: 0.5, LossRatio: 1e-4,
 	}}
@@ -40,7 +40,7 @@
 	return b.out.String()
 }
 
-func (b *bench) apply(l scripter.Line) {
+func (b *scenarioRun) apply(l scripter.Line) {
 	switch l.Verb {
 	case "scenario":
 		b.configure(l)
@@ -61,7 +61,7 @@
 	}
 }
 
-func (b *bench) configure(l scripter.Line) {
+func (b *scenarioRun) configure(l scripter.Line) {
 	sc := &b.scenario
 	for _, arg := range l.Args {
 		key, value, _ := strings.Cut(arg, "=")
@@ -102,7 +102,7 @@
 	}
 }
 
-func (b *bench) fault(l scripter.Line) Fault {
+func (b *scenarioRun) fault(l scripter.Line) Fault {
 	f := Fault{Kind: FaultKind(l.Args[0]), At: scripter.Duration(b.t, l.Arg("at"))}
 	if text := l.Arg("agents"); text != "" {
 		for n := range strings.SplitSeq(text, ",") {
@@ -121,8 +121,8 @@
 	return f
 }
 
-// restrict limits the figures to some jobs.
-func (b *bench) restrict(l scripter.Line) {
+// restrict limits the statistics to some jobs.
+func (b *scenarioRun) restrict(l scripter.Line) {
 	var after time.Duration
 	if text := l.Arg("after"); text != "" {
 		after = scripter.Duration(b.t, text)
@@ -134,8 +134,8 @@
 	b.include = func(j *Job) bool { return j.At >= after && j.Team != notTeam }
 }
 
-// run runs one system and writes a line of its figures.
-func (b *bench) run(name string) {
+// run runs one system and prints a line of its statistics.
+func (b *scenarioRun) run(name string) {
 	if b.workload == nil {
 		b.workload = NewWorkload(&b.scenario)
 		fmt.Fprintf(&b.out, "jobs=%d\n", len(b.workload.Jobs))
@@ -160,21 +160,21 @@
 	b.report(name)
 }
 
-func (b *bench) summarize(r *Result) Summary {
+func (b *scenarioRun) summarize(r *Result) Summary {
 	b.result = r
 	b.summary = r.Summarize(b.workload, b.scenario.Duration, b.include)
 	return b.summary
 }
 
-func (b *bench) report(name string) {
+func (b *scenarioRun) report(name string) {
 	s := b.summary
 	fmt.Fprintf(&b.out, "%-13s %6.3f %6.3f %6.3f %9.3f %6.2f%% %6.2f%% %6.2f%% %7.2f\n", name,
 		ratio(s.Mean, b.ideal.Mean), ratio(s.P50, b.ideal.P50), ratio(s.P99, b.ideal.P99),
 		s.MessagesPerTask, 100*s.WastedMessageRatio, 100*s.Failed, 100*s.Refused, s.Goodput)
 }
 
-// bound checks a figure of the latest system.
-func (b *bench) bound(l scripter.Line) {
+// bound checks a statistic of the latest system.
+func (b *scenarioRun) bound(l scripter.Line) {
 	figures := map[string]float64{
 		"mean":   ratio(b.summary.Mean, b.ideal.Mean),
 		"p99":    ratio(b.summary.P99, b.ideal.P99),
@@ -183,7 +183,7 @@
 	}
 	switch l.Args[0] {
 	case "p99-of-unflooded":
-		figures[l.Args[0]] = ratio(b.summary.P99, b.unflooded().P99)
+		figures[l.Args[0]] = ratio(b.summary.P99, b.withoutOverload().P99)
 	case "goodput-lost":
 		figures[l.Args[0]] = 1 - b.summary.Goodput/b.atCapacity().Goodput
 	}
@@ -196,8 +196,8 @@
 	}
 }
 
-// unflooded returns the figures of the same arrivals without the flood.
-func (b *bench) unflooded() Summary {
+// withoutOverload returns the statistics of the same arrivals without the overload.
+func (b *scenarioRun) withoutOverload() Summary {
 	sc := b.scenario
 	w := &Workload{}
 	for _, j := range b.workload.Jobs {
@@ -211,8 +211,8 @@
 	return s
 }
 
-// atCapacity returns the figures of the scenario at a load of 1.
-func (b *bench) atCapacity() Summary {
+// atCapacity returns the statistics of the scenario at a load of 1.
+func (b *scenarioRun) atCapacity() Summary {
 	sc := b.scenario
 	sc.Load = 1
 	w := NewWorkload(&sc)
@@ -223,7 +223,7 @@
 
 func ratio(a, b time.Duration) float64 { return a.Seconds() / b.Seconds() }
 
-func (b *bench) number(text string) float64 {
+func (b *scenarioRun) number(text string) float64 {
 	if text == "" {
 		return 0
 	}
--- a/internal/experimenter/ideal.go
+++ b/internal/experimenter/ideal.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// RunIdeal runs a workload through one queue over all slots with full knowledge:
-// true run times, every slot's state at once, and which upstreams fail or die. It
-// serves the job with the least remaining work first. A task that can start does
-// so on the fastest free slot. Messages take the mean delay of the links.
+// RunIdeal runs a workload through a single queue over all slots. The scheduler knows the
+// actual run times, the current state of every slot, which upstreams are failing or
+// slow, and when agents crash. It does not use failing or slow upstreams. It serves the job with the
+// least remaining work first. Messages take the mean delay of the links.
 func RunIdeal(sc *Scenario, w *Workload) *Result {
 	s := &ideal{scenario: sc, workload: w, clock: &clock{}, result: &Result{Jobs: make([]JobResult, len(w.Jobs))}}
-	s.left = make([]int, len(w.Jobs))
-	s.running = make([]int, len(w.Jobs))
+	s.remaining = make([]int, len(w.Jobs))
+	s.runningTasks = make([]int, len(w.Jobs))
 	for n := range sc.Agents {
 		if sc.fault(FaultFailing, n) != nil {
 			continue
 		}
 		if sc.fault(FaultSlow, n) == nil {
-			s.free += sc.Slots
+			s.freeSlots += sc.Slots
 		}
 		if f := sc.fault(FaultAgentsCrash, n); f != nil {
-			s.clock.at(f.At, func() { s.free -= sc.Slots })
+			s.clock.at(f.At, func() { s.freeSlots -= sc.Slots })
 		}
 	}
 	for i := range w.Jobs {
 		s.result.Jobs[i].Outcome = JobOpen
-		s.left[i] = len(w.Jobs[i].Tasks)
+		s.remaining[i] = len(w.Jobs[i].Tasks)
 		s.clock.at(w.Jobs[i].At, func() { s.arrive(i) })
 		if at := w.Jobs[i].CancelAt; at > 0 {
 			s.clock.at(at, func() { s.cancel(i) })
@@ -40,32 +40,32 @@
 	return s.result
 }
 
-// settleTime is how long an experiment goes on after the last arrival.
+// settleTime is how long an experiment continues after the last arrival.
 const settleTime = 60 * time.Second
 
 const meanDelay = (sameCentreDelay+2*otherCentreDelay)/3 + jitter/2
 
 type ideal struct {
-	scenario *Scenario
-	workload *Workload
-	clock    *clock
-	result   *Result
-	left     []int // left has the tasks of each job that have not ended.
-	running  []int // running has the tasks of each job that run.
-	queue    idealHeap
-	free     int
+	scenario     *Scenario
+	workload     *Workload
+	clock        *clock
+	result       *Result
+	remaining    []int // remaining counts the tasks of each job that have not ended.
+	runningTasks []int // runningTasks counts the running tasks of each job.
+	queue        idealHeap
+	freeSlots    int
 }
 
 type idealJob struct {
-	job   int
-	next  int
-	order []int         // order has the tasks, the longest first.
-	work  time.Duration // work is the run time of the tasks that have not started.
+	job           int
+	next          int
+	order         []int         // order holds the indexes of the tasks, the longest task first.
+	remainingWork time.Duration // remainingWork is the total run time of the tasks that have not started.
 }
 
 func (s *ideal) arrive(i int) {
 	j := &s.workload.Jobs[i]
-	q := &idealJob{job: i, work: j.work(), order: make([]int, len(j.Tasks))}
+	q := &idealJob{job: i, remainingWork: j.work(), order: make([]int, len(j.Tasks))}
 	for n := range q.order {
 		q.order[n] = n
 	}
@@ -77,13 +77,13 @@
 func (s *ideal) cancel(i int) {
 	if s.result.Jobs[i].Outcome == JobOpen {
 		s.result.Jobs[i].Outcome = JobCancelled
-		s.free += s.running[i]
+		s.freeSlots += s.runningTasks[i]
 		s.dispatch()
 	}
 }
 
 func (s *ideal) dispatch() {
-	for len(s.queue) > 0 && s.free > 0 {
+	for len(s.queue) > 0 && s.freeSlots > 0 {
 		q := s.queue[0]
 		if s.result.Jobs[q.job].Outcome != JobOpen {
 			heap.Pop(&s.queue)
@@ -99,24 +99,24 @@
 func (s *ideal) start(q *idealJob) {
 	t := &s.workload.Jobs[q.job].Tasks[q.order[q.next]]
 	q.next++
-	q.work -= t.RunTime
-	s.free--
+	q.remainingWork -= t.RunTime
+	s.freeSlots--
 	s.result.Starts++
-	s.running[q.job]++
+	s.runningTasks[q.job]++
 	s.clock.after(t.RunTime, func() {
 		if s.result.Jobs[q.job].Outcome == JobCancelled {
 			return
 		}
-		s.running[q.job]--
-		s.free++
+		s.runningTasks[q.job]--
+		s.freeSlots++
 		s.end(q.job)
 		s.dispatch()
 	})
 }
 
 func (s *ideal) end(i int) {
-	s.left[i]--
-	if s.left[i] == 0 && s.result.Jobs[i].Outcome == JobOpen {
+	s.remaining[i]--
+	if s.remaining[i] == 0 && s.result.Jobs[i].Outcome == JobOpen {
 		s.result.Jobs[i] = JobResult{
 			Outcome:  JobComplete,
 			Response: s.clock.now - s.workload.Jobs[i].At + 2*meanDelay,
@@ -128,8 +128,8 @@
 
 func (h idealHeap) Len() int { return len(h) }
 func (h idealHeap) Less(i, j int) bool {
-	if h[i].work != h[j].work {
-		return h[i].work < h[j].work
+	if h[i].remainingWork != h[j].remainingWork {
+		return h[i].remainingWork < h[j].remainingWork
 	}
 	return h[i].job < h[j].job
 }
--- a/internal/experimenter/result.go
+++ b/internal/experimenter/result.go
@@ -15,45 +15,45 @@
 	JobFailed    JobOutcome = "failed"
 	JobRefused   JobOutcome = "refused"
 	JobCancelled JobOutcome = "cancelled"
-	JobOpen      JobOutcome = "open" // The job had not ended when the experiment did.
+	JobOpen      JobOutcome = "open" // The job had not ended by the end of the experiment.
 )
 
-// JobResult is the end of one job.
+// JobResult is the result of one job.
 type JobResult struct {
 	Outcome  JobOutcome
 	Response time.Duration // Response is set if the job is complete.
 }
 
-// Result is what one system made of a workload.
+// Result is the result of one system for a workload.
 type Result struct {
-	Jobs     []JobResult // Jobs has one entry a job of the workload.
-	Messages int         // Messages counts those between entries and agents.
-	// Useful counts the messages that carry the first start batch or the last
-	// result batch of some job at some agent.
+	Jobs     []JobResult // Jobs has one element per job of the workload.
+	Messages int         // Messages counts the messages between entries and agents.
+	// UsefulMessages counts the messages that carry the first starts or the last
+	// results of a job at an agent.
 	UsefulMessages int
 	Starts         int // Starts counts the tasks that started.
-	// Overcommit is by how many tasks an upstream ran more than it has slots, at most.
+	// MaxOvercommit is the largest number of tasks that an upstream ran beyond its slots.
 	MaxOvercommit int
-	// RunTime is the time that tasks ran, in all slots together.
+	// RunTime is the total run time of tasks in all slots.
 	RunTime time.Duration
-	// Useless is the part of RunTime that went into jobs that did not end complete.
+	// WastedRunTime is the part of RunTime that was spent on jobs that did not complete.
 	WastedRunTime time.Duration
 }
 
-// Summary has the figures of a result.
+// Summary holds the statistics of a result.
 type Summary struct {
-	Mean, P50, P99     time.Duration // Mean, P50 and P99 are of the complete jobs' response times.
+	Mean, P50, P99     time.Duration // Response times of the complete jobs.
 	MessagesPerTask    float64
-	WastedMessageRatio float64 // Wasted is the number of useless messages by that of useful ones.
+	WastedMessageRatio float64 // WastedMessageRatio is the number of other messages per useful message.
 	Complete           int
 	Failed             float64 // Failed is the share of jobs that failed or stayed open.
 	Refused            float64
-	// Goodput is the run time of the jobs that were complete before the arrivals
-	// ended, in slots.
+	// Goodput is the mean number of slots that ran jobs that completed before the
+	// arrivals ended.
 	Goodput float64
 }
 
-// Summarize computes the figures over the jobs that the filter lets through.
+// Summarize computes the statistics of the jobs that the filter includes.
 func (r *Result) Summarize(w *Workload, duration time.Duration, include func(*Job) bool) Summary {
 	var s Summary
 	var times []time.Duration
@@ -104,39 +104,39 @@
 	return sum
 }
 
-// pair is one job at one agent.
-type pair struct {
+// jobAgent identifies a job at an agent.
+type jobAgent struct {
 	job   int
 	agent int
 }
 
-// tally counts messages and which of them are useful.
-type tally struct {
-	messages    int
-	firstStarts map[pair]int
-	lastResults map[pair]int
+// messageCounter counts messages and finds the useful ones among them.
+type messageCounter struct {
+	total       int
+	firstStarts map[jobAgent]int
+	lastResults map[jobAgent]int
 }
 
-func newTally() *tally {
-	return &tally{firstStarts: make(map[pair]int), lastResults: make(map[pair]int)}
+func newMessageCounter() *messageCounter {
+	return &messageCounter{firstStarts: make(map[jobAgent]int), lastResults: make(map[jobAgent]int)}
 }
 
-// message counts one message and returns its number.
-func (t *tally) message() int {
-	t.messages++
-	return t.messages
+// count counts a message and returns its number.
+func (t *messageCounter) count() int {
+	t.total++
+	return t.total
 }
 
-func (t *tally) start(p pair, message int) {
+func (t *messageCounter) recordStart(p jobAgent, message int) {
 	if _, ok := t.firstStarts[p]; !ok {
 		t.firstStarts[p] = message
 	}
 }
 
-func (t *tally) result(p pair, message int) { t.lastResults[p] = message }
+func (t *messageCounter) recordResult(p jobAgent, message int) { t.lastResults[p] = message }
 
-// useful returns the number of messages that no system could do without.
-func (t *tally) useful() int {
+// useful returns the number of messages that every system has to send.
+func (t *messageCounter) useful() int {
 	set := make(map[int]bool)
 	for _, m := range t.firstStarts {
 		set[m] = true
--- a/internal/experimenter/system.go
+++ b/internal/experimenter/system.go
@@ -14,40 +14,40 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Settings are those of the real decision code in an experiment.
+// Settings configure the real decision code in an experiment.
 type Settings struct {
 	Placer placer.Limits
 	Guard  guard.Limits
-	// NoCredits lets every entry take all slots of every agent for its own.
+	// NoCredits makes every entry schedule as if it had all slots of every agent for itself.
 	NoCredits bool
 	// Quotas are the teams' quotas.
 	Quotas []placer.Quota
 }
 
 const (
-	service      = "print"
-	tickEvery    = 100 * time.Millisecond
-	announceFor  = time.Minute
-	memoryBytes  = 32 << 30
-	recordWindow = 5 * time.Second
+	service         = "print"
+	tickInterval    = 100 * time.Millisecond
+	announcementTTL = time.Minute
+	memoryBytes     = 32 << 30
+	recordWindow    = 5 * time.Second
 )
 
-// zero is the wall-clock time at which experiments begin.
-var zero = time.Unix(1_700_000_000, 0)
+// startTime is the wall-clock time at which experiments start.
+var startTime = time.Unix(1_700_000_000, 0)
 
-// system is the real placer and guard between fake callers and upstreams.
+// system connects real placers and guards with simulated callers and upstreams.
 type system struct {
-	scenario *Scenario
-	workload *Workload
-	settings Settings
-	clock    *clock
-	random   *rand.Rand
-	result   *Result
-	tally    *tally
-	numbers  map[identifier.Submission]int
-	left     []int // left has the tasks of each job that have not ended.
-	entries  []*entryNode
-	agents   []*agentNode
+	scenario   *Scenario
+	workload   *Workload
+	settings   Settings
+	clock      *clock
+	random     *rand.Rand
+	result     *Result
+	messages   *messageCounter
+	jobNumbers map[identifier.Submission]int
+	remaining  []int // remaining counts the tasks of each job that have not ended.
+	entries    []*entryNode
+	agents     []*agentNode
 
 	agentNumbers map[messenger.Peer]int
 }
@@ -55,15 +55,15 @@
 // Run runs a workload through the real decision code.
 func Run(sc *Scenario, w *Workload, settings Settings) *Result {
 	s := &system{
-		scenario: sc,
-		workload: w,
-		settings: settings,
-		clock:    &clock{},
-		random:   rand.New(rand.NewPCG(sc.Seed, 3)),
-		result:   &Result{Jobs: make([]JobResult, len(w.Jobs))},
-		tally:    newTally(),
-		numbers:  make(map[identifier.Submission]int, len(w.Jobs)),
-		left:     make([]int, len(w.Jobs)),
+		scenario:   sc,
+		workload:   w,
+		settings:   settings,
+		clock:      &clock{},
+		random:     rand.New(rand.NewPCG(sc.Seed, 3)),
+		result:     &Result{Jobs: make([]JobResult, len(w.Jobs))},
+		messages:   newMessageCounter(),
+		jobNumbers: make(map[identifier.Submission]int, len(w.Jobs)),
+		remaining:  make([]int, len(w.Jobs)),
 
 		agentNumbers: make(map[messenger.Peer]int),
 	}
@@ -71,17 +71,17 @@
 		s.settings.Guard.MaxResultDelay = guard.DefaultMaxResultDelay
 	}
 	s.build()
-	s.plan()
+	s.scheduleEvents()
 	s.clock.run(sc.Duration + settleTime)
-	s.result.Messages = s.tally.messages
-	s.result.UsefulMessages = s.tally.useful()
-	s.countUseless()
+	s.result.Messages = s.messages.total
+	s.result.UsefulMessages = s.messages.useful()
+	s.countWasted()
 	return s.result
 }
 
-func (s *system) now() time.Time { return zero.Add(s.clock.now) }
+func (s *system) now() time.Time { return startTime.Add(s.clock.now) }
 
-// build makes the processes and connects them.
+// build creates the processes and connects them.
 func (s *system) build() {
 	for n := range s.scenario.Entries {
 		e := &entryNode{system: s, number: n, placer: placer.New(s.settings.Placer)}
@@ -100,8 +100,8 @@
 	}
 }
 
-// plan puts the arrivals, the faults and the ticks on the clock.
-func (s *system) plan() {
+// scheduleEvents schedules the arrivals, the faults and the ticks.
+func (s *system) scheduleEvents() {
 	for _, a := range s.agents {
 		a.announce()
 		s.clock.after(0, a.flush)
@@ -109,8 +109,8 @@
 	for i := range s.workload.Jobs {
 		j := &s.workload.Jobs[i]
 		s.result.Jobs[i].Outcome = JobOpen
-		s.left[i] = len(j.Tasks)
-		s.numbers[j.ID] = i
+		s.remaining[i] = len(j.Tasks)
+		s.jobNumbers[j.ID] = i
 		s.clock.at(warmUp+j.At, func() { s.arrive(i) })
 		if d := s.scenario.Deadline; d > 0 {
 			s.clock.at(warmUp+j.At+d, func() { s.expire(i) })
@@ -121,19 +121,19 @@
 	}
 	for i := range s.scenario.Faults {
 		f := &s.scenario.Faults[i]
-		s.clock.at(warmUp+f.At, func() { s.strike(f) })
+		s.clock.at(warmUp+f.At, func() { s.injectFault(f) })
 	}
-	for at := tickEvery; at < s.scenario.Duration+settleTime; at += tickEvery {
+	for at := tickInterval; at < s.scenario.Duration+settleTime; at += tickInterval {
 		s.clock.at(at, s.tick)
 	}
 }
 
-// warmUp is how long the processes connect before the first arrival.
+// warmUp is the time for processes to connect before the first arrival.
 const warmUp = 100 * time.Millisecond
 
 func (s *system) tick() {
 	for _, a := range s.agents {
-		if !a.dead {
+		if !a.crashed {
 			a.guard.Tick(s.now())
 			a.flush()
 		}
@@ -146,7 +146,7 @@
 func (s *system) arrive(i int) {
 	j := &s.workload.Jobs[i]
 	e := s.entries[j.Entry]
-	for n := 1; e.dead; n++ {
+	for n := 1; e.crashed; n++ {
 		e = s.entries[(j.Entry+n)%len(s.entries)]
 	}
 	e.submit(i, j)
@@ -158,8 +158,8 @@
 	}
 	e := s.entries[s.workload.Jobs[i].Entry]
 	s.result.Jobs[i].Outcome = JobCancelled
-	e.stop(i)
-	e.wake()
+	e.cancel(i)
+	e.planFlush()
 }
 
 // expire fails a job that has not ended by its deadline.
@@ -169,42 +169,42 @@
 	}
 	s.fail(i)
 	e := s.entries[s.workload.Jobs[i].Entry]
-	e.stop(i)
-	e.wake()
+	e.cancel(i)
+	e.planFlush()
 }
 
-func (s *system) strike(f *Fault) {
+func (s *system) injectFault(f *Fault) {
 	switch f.Kind {
 	case FaultAgentsCrash:
 		for _, n := range f.Agents {
-			s.agents[n].die()
+			s.agents[n].crash()
 		}
 	case FaultPartition:
-		s.cutOff(f)
+		s.partition(f)
 	case FaultEntryCrash:
-		s.entries[f.Entry].die()
+		s.entries[f.Entry].crash()
 	}
 }
 
-// fail ends a job that cannot be completed.
+// fail marks a job as failed if it is open.
 func (s *system) fail(i int) {
 	if s.result.Jobs[i].Outcome == JobOpen {
 		s.result.Jobs[i].Outcome = JobFailed
 	}
 }
 
-func (s *system) countUseless() {
+func (s *system) countWasted() {
 	for _, a := range s.agents {
-		for _, r := range a.ran {
-			s.result.RunTime += r.took
+		for _, r := range a.finishedRuns {
+			s.result.RunTime += r.runTime
 			if s.result.Jobs[r.job].Outcome != JobComplete {
-				s.result.WastedRunTime += r.took
+				s.result.WastedRunTime += r.runTime
 			}
 		}
 	}
 }
 
-// spec returns a job as the placer takes it.
+// spec returns a job in the form that the placer accepts.
 func (s *system) spec(i int) placer.Job {
 	j := &s.workload.Jobs[i]
 	out := placer.Job{
@@ -215,7 +215,7 @@
 		Tasks:        make([]uint16, len(j.Tasks)),
 	}
 	if s.scenario.Deadline > 0 {
-		out.Deadline = zero.Add(warmUp + j.At + s.scenario.Deadline)
+		out.Deadline = startTime.Add(warmUp + j.At + s.scenario.Deadline)
 	}
 	for n := range j.Tasks {
 		out.Requirements[n].RunTime = j.Tasks[n].Declared
@@ -225,7 +225,7 @@
 }
 
 func (s *system) newLink(entry, agent int) *link {
-	return &link{clock: s.clock, random: s.random, delay: delay(entry, agent), loss: s.scenario.LossRatio}
+	return &link{clock: s.clock, random: s.random, delay: delay(entry, agent), lossRatio: s.scenario.LossRatio}
 }
 
 func announcement(slots int) invoker.Announcement {
@@ -235,7 +235,7 @@
 		Slots:       slots,
 		Connections: 64,
 		MemoryBytes: memoryBytes,
-		TimeToLive:  submitter.Duration(announceFor),
+		TimeToLive:  submitter.Duration(announcementTTL),
 	}
 }
 
--- a/internal/experimenter/workload.go
+++ b/internal/experimenter/workload.go
@@ -8,28 +8,28 @@
 	"sardinelock.dev/sardinelock/internal/identifier"
 )
 
-// Task is one task with its true run time.
+// Task is one task with its actual and its declared run time.
 type Task struct {
 	RunTime  time.Duration
 	Declared time.Duration
 }
 
-// Job is one arrival.
+// Job is a job that arrives at a time.
 type Job struct {
 	ID       identifier.Submission
 	At       time.Duration
-	Entry    int // Entry owns the partition of the job.
+	Entry    int // Entry is the number of the entry that owns the job's partition.
 	Team     int
 	Tasks    []Task
 	CancelAt time.Duration // CancelAt is zero unless the caller cancels.
 }
 
-// Workload is what arrives in a scenario, in order of time.
+// Workload holds the jobs of a scenario in order of arrival.
 type Workload struct {
 	Jobs []Job
 }
 
-// NewWorkload draws the arrivals of a scenario.
+// NewWorkload draws the jobs of a scenario from its seed.
 func NewWorkload(sc *Scenario) *Workload {
 	w := &Workload{}
 	random := rand.New(rand.NewPCG(sc.Seed, 1))
@@ -37,25 +37,25 @@
 	capacity := float64(sc.Agents * sc.Slots)
 	rate := sc.Load * capacity / meanWork
 	for at := time.Duration(0); ; {
-		now := rate
+		currentRate := rate
 		if sc.Burst > 0 && at >= sc.BurstAt && at < sc.BurstAt+sc.BurstFor {
-			now *= sc.Burst
+			currentRate *= sc.Burst
 		}
-		at += seconds(random.ExpFloat64() / now)
+		at += seconds(random.ExpFloat64() / currentRate)
 		if at >= sc.Duration {
 			break
 		}
 		w.Jobs = append(w.Jobs, newJob(sc, random, at, random.IntN(max(1, sc.Teams))))
 	}
 	if sc.Overload > 0 {
-		w.flood(sc, meanWork)
+		w.addOverload(sc, meanWork)
 	}
-	w.cancel(sc, random)
+	w.drawCancellations(sc, random)
 	return w
 }
 
-// flood adds the arrivals of team 0.
-func (w *Workload) flood(sc *Scenario, meanWork float64) {
+// addOverload adds the jobs of team 0, and assigns all others to the other teams.
+func (w *Workload) addOverload(sc *Scenario, meanWork float64) {
 	random := rand.New(rand.NewPCG(sc.Seed, 2))
 	rate := sc.Overload * float64(sc.Agents*sc.Slots) / meanWork
 	var added []Job
@@ -86,16 +86,17 @@
 	return out
 }
 
-// cancel draws which jobs the waves of cancellations concern.
-func (w *Workload) cancel(sc *Scenario, random *rand.Rand) {
-	const reach = 10 * time.Second
+// drawCancellations draws the jobs that the cancellation waves cancel. Only jobs that
+// arrived at most maxAge before a wave are considered open.
+func (w *Workload) drawCancellations(sc *Scenario, random *rand.Rand) {
+	const maxAge = 10 * time.Second
 	for _, f := range sc.Faults {
 		if f.Kind != FaultCancelWave {
 			continue
 		}
 		for i := range w.Jobs {
 			j := &w.Jobs[i]
-			if j.At < f.At && j.At > f.At-reach && random.Float64() < f.Factor {
+			if j.At < f.At && j.At > f.At-maxAge && random.Float64() < f.Factor {
 				j.CancelAt = f.At
 			}
 		}
@@ -108,16 +109,16 @@
 		j.ID[i] = byte(random.Uint32())
 	}
 	j.Entry = int(j.ID.Partition()) % sc.Entries
-	j.Tasks = make([]Task, size(sc.Sizes, random))
+	j.Tasks = make([]Task, drawTaskCount(sc.Sizes, random))
 	for i := range j.Tasks {
-		j.Tasks[i].RunTime = runTime(random)
-		j.Tasks[i].Declared = declared(sc, random, j.Tasks[i].RunTime)
+		j.Tasks[i].RunTime = drawRunTime(random)
+		j.Tasks[i].Declared = drawDeclared(sc, random, j.Tasks[i].RunTime)
 	}
 	return j
 }
 
-// runTime draws a true run time: mostly 50 ms to 1 s, one in a hundred of 2 to 5 s.
-func runTime(random *rand.Rand) time.Duration {
+// drawRunTime draws an actual run time: mostly 50 ms to 1 s, one in a hundred 2 to 5 s.
+func drawRunTime(random *rand.Rand) time.Duration {
 	if random.IntN(100) == 0 {
 		return seconds(2 + 3*random.Float64())
 	}
@@ -125,7 +126,7 @@
 	return seconds(min(max(s, 0.05), 1))
 }
 
-func declared(sc *Scenario, random *rand.Rand, truth time.Duration) time.Duration {
+func drawDeclared(sc *Scenario, random *rand.Rand, runTime time.Duration) time.Duration {
 	factor := math.Exp(sc.DeclaredError * random.NormFloat64())
 	if sc.DeclaredFactor > 0 {
 		if random.IntN(2) == 0 {
@@ -134,10 +135,10 @@
 			factor /= sc.DeclaredFactor
 		}
 	}
-	return seconds(truth.Seconds() * factor)
+	return seconds(runTime.Seconds() * factor)
 }
 
-func size(kind SizeKind, random *rand.Rand) int {
+func drawTaskCount(kind SizeKind, random *rand.Rand) int {
 	switch kind {
 	case SizeOne:
 		return 1
@@ -158,18 +159,18 @@
 	return 21 + random.IntN(40)
 }
 
-// meanWork returns the mean run time of all tasks of a job in seconds, from a
-// sample of its own.
+// meanWork returns the mean total run time of a job's tasks in seconds. It draws a separate
+// sample with a fixed seed.
 func meanWork(sc *Scenario) float64 {
 	const draws = 200_000
 	random := rand.New(rand.NewPCG(7, 7))
 	tasks := 0
 	for range draws {
-		tasks += size(sc.Sizes, random)
+		tasks += drawTaskCount(sc.Sizes, random)
 	}
 	var sum time.Duration
 	for range draws {
-		sum += runTime(random)
+		sum += drawRunTime(random)
 	}
 	return float64(tasks) / draws * sum.Seconds() / draws
 }
