--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -1,9 +1,9 @@
-// Package emulator has small stand-ins for what sardinelock meets outside: the
-// platform's table service and object store, and an upstream that runs tasks.
+// Package emulator implements small emulators of the systems that sardinelock depends
+// on: the platform's table service and object store, and an upstream that runs tasks.
 //
-// They serve development, tests and load experiments. Each speaks the real
-// protocol over HTTP and can be made to misbehave in the ways that the real one
-// does: down, slow, or losing an answer after the write has taken effect.
+// They are used for development, tests and load experiments. Each serves the real
+// protocol over HTTP and can inject faults: it can be unavailable, slow, or lose an
+// answer after the write has taken effect.
 package emulator
 
 import (
@@ -20,14 +20,14 @@
 	"sardinelock.dev/sardinelock/internal/storer"
 )
 
-// Faults are the ways in which the platform misbehaves.
+// Faults are the faults that the platform injects.
 type Faults struct {
 	Down            bool    `json:"down"`
-	Latency         string  `json:"latency"` // Latency is added to each call, as a Go duration.
+	Latency         string  `json:"latency"` // Latency delays each call; it has the format of a Go duration.
 	LoseAnswerRatio float64 `json:"lose-answer-ratio"`
 }
 
-// Platform is the stand-in for the table service and the object store.
+// Platform emulates the table service and the object store.
 type Platform struct {
 	mu       sync.Mutex
 	faults   Faults
@@ -42,7 +42,7 @@
 
 const maxRequestBytes = 64 << 20
 
-// NewPlatform returns an empty platform whose faults are drawn from the seed.
+// NewPlatform returns an empty platform. The seed determines which answers are lost.
 func NewPlatform(seed uint64, faults Faults) *Platform {
 	return &Platform{
 		faults:   faults,
@@ -53,7 +53,8 @@
 	}
 }
 
-// Handler serves the platform's API, and /faults to read and change the faults.
+// Handler serves the platform's API, /faults to read and change the faults, and /counts
+// to read the numbers of calls.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/table", p.serveRead)
@@ -74,15 +75,16 @@
 	p.faults = f
 }
 
-// Counts returns how many reads and writes of the table were asked for.
+// Counts returns the numbers of table reads and writes that were requested.
 func (p *Platform) Counts() (reads, writes uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reads, p.writes
 }
 
-// begin applies the faults that come before a call and reports whether to go on.
-func (p *Platform) begin(w http.ResponseWriter) bool {
+// applyFaults applies the faults that precede a call and reports whether the call may
+// continue.
+func (p *Platform) applyFaults(w http.ResponseWriter) bool {
 	p.mu.Lock()
 	faults := p.faults
 	p.mu.Unlock()
@@ -96,7 +98,7 @@
 	return true
 }
 
-// loseAnswer ends the connection without an answer in the configured share of calls.
+// loseAnswer closes the connection without an answer for the configured share of calls.
 func (p *Platform) loseAnswer() {
 	p.mu.Lock()
 	lose := p.random.Float64() < p.faults.LoseAnswerRatio
@@ -107,28 +109,28 @@
 }
 
 func (p *Platform) serveRead(w http.ResponseWriter, r *http.Request) {
-	if !p.begin(w) {
+	if !p.applyFaults(w) {
 		return
 	}
 	writeJSON(w, p.Read(r.URL.Query().Get("prefix")))
 }
 
-// Read returns the rows below a prefix.
+// Read returns the rows whose keys have a prefix.
 func (p *Platform) Read(prefix string) storer.Range {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reads++
-	out := storer.Range{Revision: p.revision}
+	rows := storer.Range{Revision: p.revision}
 	for _, key := range slices.Sorted(maps.Keys(p.rows)) {
 		if strings.HasPrefix(key, prefix) {
-			out.Rows = append(out.Rows, p.rows[key])
+			rows.Rows = append(rows.Rows, p.rows[key])
 		}
 	}
-	return out
+	return rows
 }
 
 func (p *Platform) serveWrite(w http.ResponseWriter, r *http.Request) {
-	if !p.begin(w) {
+	if !p.applyFaults(w) {
 		return
 	}
 	var t storer.Transaction
@@ -140,35 +142,35 @@
 		http.Error(w, "request-id is missing", http.StatusBadRequest)
 		return
 	}
-	out := p.Write(t)
+	outcome := p.Write(t)
 	p.loseAnswer()
-	writeJSON(w, out)
+	writeJSON(w, outcome)
 }
 
-// Write applies a transaction, or returns the outcome of an earlier one with the
-// same request id.
+// Write applies a transaction. It is idempotent: for a request ID that was used before,
+// it returns the earlier outcome.
 func (p *Platform) Write(t storer.Transaction) storer.Outcome {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.writes++
-	if out, ok := p.outcomes[t.RequestID]; ok {
-		return out
+	if outcome, ok := p.outcomes[t.RequestID]; ok {
+		return outcome
 	}
-	out := p.apply(t)
-	p.outcomes[t.RequestID] = out
-	return out
+	outcome := p.apply(t)
+	p.outcomes[t.RequestID] = outcome
+	return outcome
 }
 
 func (p *Platform) apply(t storer.Transaction) storer.Outcome {
-	var out storer.Outcome
+	var outcome storer.Outcome
 	for _, c := range t.Conditions {
 		if row := p.rows[c.Key]; row.Revision != c.Revision {
 			row.Key = c.Key
-			out.Conflicts = append(out.Conflicts, row)
+			outcome.Conflicts = append(outcome.Conflicts, row)
 		}
 	}
-	if len(out.Conflicts) > 0 {
-		return out
+	if len(outcome.Conflicts) > 0 {
+		return outcome
 	}
 	p.revision++
 	for _, put := range t.Puts {
@@ -177,13 +179,13 @@
 	for _, key := range t.Deletes {
 		delete(p.rows, key)
 	}
-	out.Applied = true
-	out.Revision = p.revision
-	return out
+	outcome.Applied = true
+	outcome.Revision = p.revision
+	return outcome
 }
 
 func (p *Platform) serveObjects(w http.ResponseWriter, r *http.Request) {
-	if !p.begin(w) {
+	if !p.applyFaults(w) {
 		return
 	}
 	prefix := r.URL.Query().Get("prefix")
@@ -199,7 +201,7 @@
 }
 
 func (p *Platform) serveObject(w http.ResponseWriter, r *http.Request) {
-	if !p.begin(w) {
+	if !p.applyFaults(w) {
 		return
 	}
 	p.mu.Lock()
@@ -213,7 +215,7 @@
 }
 
 func (p *Platform) servePutObject(w http.ResponseWriter, r *http.Request) {
-	if !p.begin(w) {
+	if !p.applyFaults(w) {
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
@@ -258,6 +260,6 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// An error here means that the client has gone; there is nobody to tell.
+	// An error means that the client has disconnected, so it cannot be reported.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/emulator/upstream.go
+++ b/internal/emulator/upstream.go
@@ -15,24 +15,24 @@
 	"sardinelock.dev/sardinelock/internal/invoker"
 )
 
-// UpstreamOptions describe a stand-in upstream.
+// UpstreamOptions configure an emulated upstream.
 type UpstreamOptions struct {
-	// Slots is the true capacity; the upstream starts what it is given even beyond it.
+	// Slots is the actual capacity. The upstream starts tasks even beyond it.
 	Slots int
 	// FailRatio is the share of tasks that fail, from 0 to 1.
 	FailRatio float64
-	// TearRatio is the share of tasks whose connection is closed when they have run,
-	// half of them before the answer and half in the middle of it, from 0 to 1.
+	// AbortRatio is the share of tasks, from 0 to 1, whose connection is closed after they
+	// have run: half of them before the answer and half in the middle of it.
 	AbortRatio float64
-	// DelayFactor multiplies each task's run time; 1 runs tasks as they say.
+	// DelayFactor multiplies each task's run time. Zero counts as 1.
 	DelayFactor float64
 	Seed        uint64
-	// Log receives one JSON line for each start and end of a task; nil drops them.
+	// Log receives one JSON line for each start and end of a task. It may be nil.
 	Log io.Writer
 }
 
-// Upstream is the stand-in for an upstream. A task's payload is a JSON object
-// whose "run-time" says how long it truly takes; its result is the payload.
+// Upstream emulates an upstream. The payload of a task is a JSON object whose "run-time"
+// is the time that the task takes. Its result is the payload.
 type Upstream struct {
 	options UpstreamOptions
 
@@ -40,10 +40,10 @@
 	random  *rand.Rand
 	log     *json.Encoder
 	running int
-	starts  map[TaskRef]int // starts counts the starts of each task.
+	starts  map[TaskRef]int // starts counts the starts of each task, including repeated ones.
 }
 
-// TaskRef names one task of a submission.
+// TaskRef identifies one task of a submission.
 type TaskRef struct {
 	Submission string
 	Task       int
@@ -58,13 +58,13 @@
 	Running      int       `json:"running"`
 }
 
-// work is the payload that the stand-in understands.
-type work struct {
+// payload is the form of payload that the emulator interprets.
+type payload struct {
 	RunTime string `json:"run-time"`
 	Fail    bool   `json:"fail"`
 }
 
-// NewUpstream returns an upstream with no task running.
+// NewUpstream returns an upstream without running tasks.
 func NewUpstream(o UpstreamOptions) *Upstream {
 	if o.DelayFactor == 0 {
 		o.DelayFactor = 1
@@ -81,8 +81,8 @@
 	}
 }
 
-// Starts returns the number of tasks that started and how many of them had
-// started before at this upstream.
+// Starts returns the total number of starts, and how many of them repeated a task that
+// had already started at this upstream.
 func (u *Upstream) Starts() (total, repeated int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -116,20 +116,20 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	var todo work
-	// Payloads of other forms are legal: they take no time.
-	_ = json.Unmarshal(body, &todo)
+	var task payload
+	// Payloads of other forms are valid; such tasks end immediately.
+	_ = json.Unmarshal(body, &task)
 	index, _ := strconv.Atoi(r.Header.Get(invoker.HeaderTask))
 	ref := TaskRef{Submission: r.Header.Get(invoker.HeaderSubmission), Task: index}
 
-	fate := u.start(ref)
+	disposition := u.start(ref)
 	defer u.end(ref)
-	u.run(r.Context(), todo)
-	if fate.torn {
-		tear(w, fate.half)
+	u.run(r.Context(), task)
+	if disposition.aborted {
+		abort(w, disposition.partialAnswer)
 		return
 	}
-	if fate.fails || todo.Fail {
+	if disposition.fails || task.Fail {
 		http.Error(w, "the task failed", http.StatusInternalServerError)
 		return
 	}
@@ -137,36 +137,36 @@
 	_, _ = w.Write(body)
 }
 
-// fate is what becomes of a task.
-type fate struct {
-	fails bool
-	torn  bool
-	half  bool // half means that the connection is torn in the middle of the answer.
+// disposition is how a task ends.
+type disposition struct {
+	fails         bool
+	aborted       bool
+	partialAnswer bool // partialAnswer makes an aborted connection end in the middle of the answer.
 }
 
-// start records a start and draws what becomes of the task.
-func (u *Upstream) start(ref TaskRef) fate {
+// start records the start of a task and draws its disposition.
+func (u *Upstream) start(ref TaskRef) disposition {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.running++
 	u.starts[ref]++
-	u.write("start", ref)
-	out := fate{fails: u.random.Float64() < u.options.FailRatio}
+	u.logEvent("start", ref)
+	d := disposition{fails: u.random.Float64() < u.options.FailRatio}
 	if u.options.AbortRatio > 0 {
-		out.torn = u.random.Float64() < u.options.AbortRatio
-		out.half = u.random.IntN(2) == 0
+		d.aborted = u.random.Float64() < u.options.AbortRatio
+		d.partialAnswer = u.random.IntN(2) == 0
 	}
-	return out
+	return d
 }
 
-// tear closes the connection of a request, perhaps after half an answer.
-func tear(w http.ResponseWriter, half bool) {
+// abort closes the connection of a request, optionally in the middle of the answer.
+func abort(w http.ResponseWriter, partialAnswer bool) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	if half {
+	if partialAnswer {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhalf")
 	}
 	_ = conn.Close()
@@ -176,11 +176,11 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.running--
-	u.write("end", ref)
+	u.logEvent("end", ref)
 }
 
-// write must be called with the lock held.
-func (u *Upstream) write(event string, ref TaskRef) {
+// logEvent logs the start or end of a task. The lock must be held.
+func (u *Upstream) logEvent(event string, ref TaskRef) {
 	if u.options.Log == nil {
 		return
 	}
@@ -189,9 +189,9 @@
 	})
 }
 
-// run waits as long as the task takes, or until the request is cancelled.
-func (u *Upstream) run(ctx context.Context, todo work) {
-	d, err := time.ParseDuration(todo.RunTime)
+// run waits until the task's run time has passed or the request is cancelled.
+func (u *Upstream) run(ctx context.Context, task payload) {
+	d, err := time.ParseDuration(task.RunTime)
 	if err != nil || d <= 0 {
 		return
 	}
@@ -204,12 +204,12 @@
 	}
 }
 
-// Announce tells an agent about an upstream and renews the announcement until
-// the context ends; then it announces that the upstream is leaving.
+// Announce announces an upstream to an agent and renews the announcement until the
+// context ends. It then announces that the upstream is leaving.
 func Announce(ctx context.Context, agent netip.AddrPort, a invoker.Announcement) error {
 	period := time.Duration(a.TimeToLive) / 3
 	for {
-		// A failed renewal is repeated at the next tick, within the time to live.
+		// A failed renewal is retried after the period, before the announcement expires.
 		_ = postAnnouncement(ctx, agent, a)
 		select {
 		case <-ctx.Done():
@@ -222,8 +222,8 @@
 	}
 }
 
-func postAnnouncement(ctx context.Context, agent netip.AddrPort, a invoker.Announcement) error {
-	body, err := json.Marshal(a)
+func postAnnouncement(ctx context.Context, agent netip.AddrPort, announcement invoker.Announcement) error {
+	body, err := json.Marshal(announcement)
 	if err != nil {
 		return err
 	}
