--- a/internal/loader/check.go
+++ b/internal/loader/check.go
@@ -12,14 +12,13 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Check is one thing that must hold in every run.
+// Check is an invariant that must hold in every run, and the violations found.
 type Check struct {
-	Name string `json:"name"`
-	// Violations counts what was seen against it.
-	Violations int `json:"violations"`
-	// Example is one violation.
+	Name       string `json:"name"`
+	Violations int    `json:"violations"`
+	// Example describes the first violation.
 	Example string `json:"example,omitempty"`
-	// Skipped says why it could not be checked; empty if it was.
+	// Skipped is the reason why the check was not made; empty if it was made.
 	Skipped string `json:"skipped,omitempty"`
 }
 
@@ -30,7 +29,8 @@
 	}
 }
 
-// entriesFrom returns the entries in the order in which a client tries them.
+// entriesFrom returns the entries in the order in which a client tries them,
+// starting with the given one, or with the one after it for a duplicate.
 func (r *runner) entriesFrom(first int, duplicate bool) []netip.AddrPort {
 	n := len(r.target.Entries)
 	first %= n
@@ -40,49 +40,51 @@
 	return slices.Concat(r.target.Entries[first:], r.target.Entries[:first])
 }
 
-// classify sorts an error of the client.
+// classify records whether the client's error, or its answer, means that the
+// request was rejected or remained unanswered.
 func (q *request) classify(err error, a submitter.Answer) {
 	var e *submitter.Error
 	switch {
 	case errors.As(err, &e) && e.Problem != nil:
 		q.rejected = fmt.Sprintf("rejected %d: %s", e.Problem.Status, e.Problem.Title)
 	case err != nil, a.Reason == submitter.ReasonConnectionLost:
-		q.lost = true
+		q.unanswered = true
 	}
 }
 
-// checkAnswers holds every request against what must be true of its answer.
+// checkAnswers checks the invariants on the answer of every request.
 func (r *runner) checkAnswers() []Check {
-	once := Check{Name: "every request got exactly one answer"}
-	own := Check{Name: "every answer is for its own submission"}
-	whole := Check{Name: "complete answers have every task's result in order"}
-	same := Check{Name: "answers to one submission do not contradict each other"}
+	oneAnswer := Check{Name: "every request got exactly one answer"}
+	ownSubmission := Check{Name: "every answer is for its own submission"}
+	completeResults := Check{Name: "complete answers have every task's result in order"}
+	consistent := Check{Name: "answers to one submission do not contradict each other"}
 	outcomes := make(map[string]submitter.Outcome)
 	if missing := int(r.sent.Load()) - len(r.requests); missing != 0 {
-		once.violate("%d requests have no answer", missing)
+		oneAnswer.violate("%d requests have no answer", missing)
 	}
 	for i := range r.requests {
 		q := &r.requests[i]
-		if q.lost || q.rejected != "" {
-			if q.lost {
-				once.violate("submission %s: no entry answered", q.submission)
+		if q.unanswered || q.rejected != "" {
+			if q.unanswered {
+				oneAnswer.violate("submission %s: no entry answered", q.submission)
 			}
 			continue
 		}
 		if q.answer.SubmissionID != q.submission {
-			own.violate("submission %s got the answer of %s", q.submission, q.answer.SubmissionID)
+			ownSubmission.violate("submission %s got the answer of %s", q.submission, q.answer.SubmissionID)
 		}
 		if q.answer.Outcome == submitter.OutcomeComplete {
-			r.checkWhole(&whole, q)
+			r.checkResults(&completeResults, q)
 		}
-		checkSame(&same, outcomes, q)
+		checkConsistent(&consistent, outcomes, q)
 	}
-	return []Check{once, own, whole, same}
+	return []Check{oneAnswer, ownSubmission, completeResults, consistent}
 }
 
-// checkWhole compares results with payloads: the stand-in returns what it got.
-func (r *runner) checkWhole(c *Check, q *request) {
-	p := &r.jobs[q.job]
+// checkResults compares results with payloads: the emulated upstream returns the
+// payload of each task as its result.
+func (r *runner) checkResults(c *Check, q *request) {
+	p := &r.jobs[q.jobIndex]
 	if len(q.answer.Results) != len(p.runTimes) {
 		c.violate("submission %s has %d results for %d tasks", q.submission, len(q.answer.Results), len(p.runTimes))
 		return
@@ -95,28 +97,30 @@
 	}
 }
 
-// checkSame compares with earlier answers. An unknown claims nothing.
-func checkSame(c *Check, outcomes map[string]submitter.Outcome, q *request) {
+// checkConsistent compares an answer with earlier ones to the same submission. The
+// outcome unknown is consistent with every other.
+func checkConsistent(c *Check, outcomes map[string]submitter.Outcome, q *request) {
 	if q.answer.Outcome == submitter.OutcomeUnknown {
 		return
 	}
 	before, known := outcomes[q.submission]
 	outcomes[q.submission] = q.answer.Outcome
-	// A refused job may be submitted again and then run.
+	// A job that was not run may be submitted again and then run.
 	if known && before != q.answer.Outcome && before != submitter.OutcomeNotRun && q.answer.Outcome != submitter.OutcomeNotRun {
 		c.violate("submission %s is %s and %s", q.submission, before, q.answer.Outcome)
 	}
 }
 
-// checkStarts holds the start records against the answers.
+// checkStarts compares the start records with the answers, and returns the total
+// number of starts.
 func (r *runner) checkStarts() ([]Check, int, error) {
-	twice := Check{Name: "no task started twice"}
-	notRun := Check{Name: "no task of a job that is not-run started"}
-	ran := Check{Name: "every task of a complete job started"}
-	checks := func() []Check { return []Check{twice, notRun, ran} }
+	startedOnce := Check{Name: "no task started twice"}
+	notRunNotStarted := Check{Name: "no task of a job that is not-run started"}
+	completeStarted := Check{Name: "every task of a complete job started"}
+	checks := func() []Check { return []Check{startedOnce, notRunNotStarted, completeStarted} }
 	if r.target.Starts == nil {
 		const why = "the target gives no start records"
-		twice.Skipped, notRun.Skipped, ran.Skipped = why, why, why
+		startedOnce.Skipped, notRunNotStarted.Skipped, completeStarted.Skipped = why, why, why
 		return checks(), 0, nil
 	}
 	starts := make(map[TaskRef]int)
@@ -127,24 +131,24 @@
 	for _, ref := range slices.SortedFunc(maps.Keys(starts), compareRefs) {
 		total += starts[ref]
 		if n := starts[ref]; n > 1 {
-			twice.violate("submission %s task %d started %d times", ref.Submission, ref.Task, n)
+			startedOnce.violate("submission %s task %d started %d times", ref.Submission, ref.Task, n)
 		}
 	}
-	submissions := r.bySubmission()
+	submissions := r.answersBySubmission()
 	for _, submission := range slices.Sorted(maps.Keys(submissions)) {
-		seen := submissions[submission]
-		tasks := len(r.jobs[seen.job].runTimes)
+		answers := submissions[submission]
+		tasks := len(r.jobs[answers.jobIndex].runTimes)
 		started := 0
 		for task := range tasks {
 			if starts[TaskRef{submission, task}] > 0 {
 				started++
 			}
 		}
-		if seen.onlyNotRun && started > 0 {
-			notRun.violate("submission %s: %d tasks started", submission, started)
+		if answers.allNotRun && started > 0 {
+			notRunNotStarted.violate("submission %s: %d tasks started", submission, started)
 		}
-		if seen.complete && started != tasks {
-			ran.violate("submission %s: %d of %d tasks started", submission, started, tasks)
+		if answers.anyComplete && started != tasks {
+			completeStarted.violate("submission %s: %d of %d tasks started", submission, started, tasks)
 		}
 	}
 	return checks(), total, nil
@@ -154,22 +158,22 @@
 	return cmp.Or(cmp.Compare(a.Submission, b.Submission), cmp.Compare(a.Task, b.Task))
 }
 
-// seen is what all requests of one submission were told.
-type seen struct {
-	job        int
-	complete   bool // complete means that some answer was complete.
-	onlyNotRun bool // onlyNotRun means that every request was answered not-run.
+// submissionAnswers summarises the answers to all requests of one submission.
+type submissionAnswers struct {
+	jobIndex    int
+	anyComplete bool
+	allNotRun   bool
 }
 
-func (r *runner) bySubmission() map[string]seen {
-	out := make(map[string]seen)
+func (r *runner) answersBySubmission() map[string]submissionAnswers {
+	out := make(map[string]submissionAnswers)
 	for i := range r.requests {
 		q := &r.requests[i]
 		s, known := out[q.submission]
-		notRun := !q.lost && q.rejected == "" && q.answer.Outcome == submitter.OutcomeNotRun
-		s.job = q.job
-		s.onlyNotRun = notRun && (s.onlyNotRun || !known)
-		s.complete = s.complete || q.answer.Outcome == submitter.OutcomeComplete
+		notRun := !q.unanswered && q.rejected == "" && q.answer.Outcome == submitter.OutcomeNotRun
+		s.jobIndex = q.jobIndex
+		s.allNotRun = notRun && (s.allNotRun || !known)
+		s.anyComplete = s.anyComplete || q.answer.Outcome == submitter.OutcomeComplete
 		out[q.submission] = s
 	}
 	return out
--- a/internal/loader/embedded.go
+++ b/internal/loader/embedded.go
@@ -8,7 +8,7 @@
 	"sardinelock.dev/sardinelock/internal/launcher"
 )
 
-// EmbeddedTarget returns the target for a system in this process.
+// EmbeddedTarget returns the target for a system that runs in this process.
 func EmbeddedTarget(s *launcher.System, x *Experiment) Target {
 	return Target{
 		Entries: s.CallerAddrs(),
@@ -25,12 +25,12 @@
 			}
 			return nil
 		},
-		Step: func(_ context.Context, step Step) error { return carryOut(s, step) },
+		Step: func(_ context.Context, step Step) error { return applyStep(s, step) },
 	}
 }
 
-// carryOut applies one step to a system.
-func carryOut(s *launcher.System, step Step) error {
+// applyStep applies one step of an experiment to a system.
+func applyStep(s *launcher.System, step Step) error {
 	switch step.Do {
 	case ActionKillEntry:
 		return s.KillEntry(step.Target)
--- a/internal/loader/error.go
+++ b/internal/loader/error.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// Kind says what went wrong with a load.
+// Kind classifies the errors of a load.
 type Kind string
 
 // The kinds of errors of this package.
 const (
-	KindExperiment Kind = "experiment" // The experiment is not valid.
-	KindTarget     Kind = "target"     // The system cannot be loaded.
+	KindExperiment Kind = "experiment" // The experiment is invalid.
+	KindTarget     Kind = "target"     // The target cannot be put under load or read.
 	KindOutput     Kind = "output"     // The result cannot be written.
 )
 
--- a/internal/loader/experiment.go
+++ b/internal/loader/experiment.go
@@ -1,10 +1,11 @@
-// Package loader loads a running system with jobs and checks its answers.
+// Package loader generates load for a running system and checks its answers.
 //
-// An [Experiment] says which jobs arrive when and what happens to the system
-// meanwhile. The load is open-loop: the arrivals are drawn from a seed before the
-// run, each job is sent at its time whether or not earlier ones are answered, and
-// its latency counts from that time. The loader holds the answers against what
-// must always be true, and their times against an ideal that knows every run time.
+// An [Experiment] defines the arrival process, the classes of jobs, and the faults
+// and operations that are applied to the system during the run. The load is
+// open-loop: arrival times are drawn from a seed before the run, each job is sent at
+// its scheduled time whether or not earlier ones have been answered, and its latency
+// is measured from that time. The loader checks invariants on the answers, and
+// compares their latencies with those of an ideal scheduler that knows every run time.
 package loader
 
 import (
@@ -19,14 +20,14 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// ArrivalProcess is how jobs arrive.
+// ArrivalProcess is the distribution of the times between arrivals.
 type ArrivalProcess string
 
 // The arrival processes.
 const (
-	ArrivalSteady  ArrivalProcess = "steady"  // Jobs arrive at equal distances.
-	ArrivalPoisson ArrivalProcess = "poisson" // Distances are drawn from an exponential distribution.
-	ArrivalBurst   ArrivalProcess = "burst"   // Jobs arrive in bursts of equal size at equal distances.
+	ArrivalSteady  ArrivalProcess = "steady"  // Jobs arrive at equal intervals.
+	ArrivalPoisson ArrivalProcess = "poisson" // Intervals are exponentially distributed.
+	ArrivalBurst   ArrivalProcess = "burst"   // Bursts of equal size arrive at equal intervals.
 )
 
 // Bounds of an experiment.
@@ -37,88 +38,90 @@
 	maxOutstanding = 20_000
 )
 
-// Experiment describes a load and what happens during it.
+// Experiment describes a load, and the steps that are applied to the system during
+// it.
 type Experiment struct {
 	Name     string        `yaml:"name"`
 	Seed     uint64        `yaml:"seed"`
 	Duration time.Duration `yaml:"duration"`
-	// Settle is how long answers are awaited after the last arrival.
+	// Settle is how long the loader waits for answers after the last arrival.
 	Settle  time.Duration `yaml:"settle"`
 	System  System        `yaml:"system"`
 	Arrival Arrival       `yaml:"arrival"`
 	Jobs    []JobClass    `yaml:"jobs"`
-	// Teams submit jobs in turn at random; empty submits without a team.
+	// Teams are the teams that submit jobs, each job's chosen at random; if empty,
+	// jobs are submitted without a team.
 	Teams []string `yaml:"teams"`
-	// TokenSuffix makes the bearer token of a team from its name, as in the
-	// examples' configurations; empty sends the team's name alone.
+	// TokenSuffix is appended to a team's name to give its bearer token, as in the
+	// example configurations; if empty, only the team's name is sent.
 	TokenSuffix string `yaml:"token-suffix"`
-	// DuplicateRatio is the share of jobs that are submitted again with the same
-	// id, through another entry where there is one.
+	// DuplicateRatio is the share of jobs that are submitted a second time with the
+	// same id, through another entry if there is one.
 	DuplicateRatio float64       `yaml:"duplicate-ratio"`
 	DuplicateAfter time.Duration `yaml:"duplicate-after"`
 	// CancelRatio is the share of jobs that are cancelled.
 	CancelRatio float64       `yaml:"cancel-ratio"`
 	CancelAfter time.Duration `yaml:"cancel-after"`
-	// MaxOutstanding bounds the requests without an answer. An arrival beyond it is
-	// not sent and makes the run invalid.
+	// MaxOutstanding bounds the number of requests in flight. An arrival beyond it is
+	// not sent, which makes the run invalid.
 	MaxOutstanding int    `yaml:"max-outstanding"`
 	Steps          []Step `yaml:"steps"`
 }
 
-// System is the shape of the system that the experiment is made for.
+// System is the size of the system that the experiment is designed for.
 type System struct {
 	Entries int `yaml:"entries"`
 	Agents  int `yaml:"agents"`
-	// Slots are the slots of one agent's upstream.
+	// Slots is the number of slots of each agent's upstream.
 	Slots int `yaml:"slots"`
-	// Base names the base configuration, seen from the experiment's file.
+	// Base is the path of the base configuration, relative to the experiment's file.
 	Base string `yaml:"base"`
 }
 
-// Arrival is when jobs arrive.
+// Arrival is the arrival process of jobs and its parameters.
 type Arrival struct {
 	Process ArrivalProcess `yaml:"process"`
 	// Rate is the mean number of jobs a second.
 	Rate float64 `yaml:"rate"`
-	// BurstSize is the number of jobs of a burst.
+	// BurstSize is the number of jobs in a burst.
 	BurstSize int `yaml:"burst-size"`
 }
 
-// JobClass is one kind of job. A range is drawn from evenly.
+// JobClass is a class of similar jobs. Values are drawn uniformly from its ranges.
 type JobClass struct {
-	// Weight is the share of this kind among all weights.
+	// Weight, divided by the sum of all weights, is the share of jobs of this class.
 	Weight  float64       `yaml:"weight"`
 	Service string        `yaml:"service"`
 	Tasks   IntRange      `yaml:"tasks"`
 	RunTime DurationRange `yaml:"run-time"`
-	// DeclaredFactor is what the declared run time is of the true one.
+	// DeclaredFactor is the ratio of the declared run time to the actual one.
 	DeclaredFactor FloatRange `yaml:"declared-factor"`
 	MemoryBytes    int64      `yaml:"memory-bytes"`
 	Repeatable     bool       `yaml:"repeatable"`
-	// RequestKey gives each job a request key of its own.
+	// RequestKey selects whether each job has a unique request key.
 	RequestKey bool          `yaml:"request-key"`
 	Deadline   time.Duration `yaml:"deadline"`
 }
 
-// IntRange is from Min to Max, both included.
+// IntRange is the range from Min to Max, both inclusive.
 type IntRange struct {
 	Min int `yaml:"min"`
 	Max int `yaml:"max"`
 }
 
-// DurationRange is from Min to Max.
+// DurationRange is the range from Min to Max.
 type DurationRange struct {
 	Min time.Duration `yaml:"min"`
 	Max time.Duration `yaml:"max"`
 }
 
-// FloatRange is from Min to Max.
+// FloatRange is the range from Min to Max.
 type FloatRange struct {
 	Min float64 `yaml:"min"`
 	Max float64 `yaml:"max"`
 }
 
-// Action is what a step does.
+// Action is the fault or operation that a step applies.
 type Action string
 
 // The actions of steps.
@@ -143,20 +146,20 @@
 	ActionFailUpstream, ActionStoreDown, ActionStoreSlow, ActionStoreUp,
 }
 
-// Step is something that happens to the system.
+// Step is a fault or operation that is applied to the system during the run.
 type Step struct {
 	At time.Duration `yaml:"at"`
 	Do Action        `yaml:"do"`
-	// Target is the index of the entry or agent.
+	// Target is the index of the entry or agent that the step applies to.
 	Target int `yaml:"target"`
-	// For is the length of a pause or the latency of a slow store.
+	// For is the duration of a pause, or the latency of a slow store.
 	For time.Duration `yaml:"for"`
 	// Ratio is the share of tasks that a failing upstream fails.
 	Ratio float64 `yaml:"ratio"`
 }
 
-// DefaultExperiment is what runs without an experiment file: small jobs at the
-// size of today.
+// DefaultExperiment returns the experiment that runs if no file is given: small jobs
+// on a system of the present size.
 func DefaultExperiment() Experiment {
 	return Experiment{
 		Name:     "default",
@@ -174,8 +177,8 @@
 	}
 }
 
-// ParseExperiment reads an experiment, fills in defaults and checks it. The name
-// stands for the file in errors.
+// ParseExperiment decodes an experiment, fills in defaults and validates it. The
+// name identifies the file in errors.
 func ParseExperiment(name string, text []byte) (Experiment, error) {
 	var x Experiment
 	dec := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict())
@@ -188,35 +191,35 @@
 	return x, nil
 }
 
-// Complete fills in defaults and reports all faults together.
+// Complete fills in defaults and validates the experiment. Its error lists all faults.
 func (x *Experiment) Complete() error {
 	x.setDefaults()
 	var faults []string
-	fault := func(bad bool, format string, args ...any) {
+	addFaultIf := func(bad bool, format string, args ...any) {
 		if bad {
 			faults = append(faults, fmt.Sprintf(format, args...))
 		}
 	}
-	fault(x.Duration <= 0 || x.Duration > maxDuration, "duration must be positive and at most %s", maxDuration)
-	fault(x.Arrival.Rate <= 0, "arrival: rate must be positive")
-	fault(x.Arrival.Rate*x.Duration.Seconds() > maxJobs, "arrival: more than %d jobs", maxJobs)
+	addFaultIf(x.Duration <= 0 || x.Duration > maxDuration, "duration must be positive and at most %s", maxDuration)
+	addFaultIf(x.Arrival.Rate <= 0, "arrival: rate must be positive")
+	addFaultIf(x.Arrival.Rate*x.Duration.Seconds() > maxJobs, "arrival: more than %d jobs", maxJobs)
 	switch x.Arrival.Process {
 	case ArrivalSteady, ArrivalPoisson, ArrivalBurst:
 	default:
-		fault(true, "arrival: process must be steady, poisson or burst, not %q", x.Arrival.Process)
+		addFaultIf(true, "arrival: process must be steady, poisson or burst, not %q", x.Arrival.Process)
 	}
-	fault(!isRatio(x.DuplicateRatio), "duplicate-ratio must be from 0 to 1")
-	fault(!isRatio(x.CancelRatio), "cancel-ratio must be from 0 to 1")
-	fault(x.MaxOutstanding < 1 || x.MaxOutstanding > maxOutstanding, "max-outstanding must be from 1 to %d", maxOutstanding)
-	fault(x.System.Entries < 1 || x.System.Agents < 1 || x.System.Slots < 1, "system: entries, agents and slots must be positive")
-	fault(len(x.Jobs) == 0, "jobs must not be empty")
+	addFaultIf(!isRatio(x.DuplicateRatio), "duplicate-ratio must be from 0 to 1")
+	addFaultIf(!isRatio(x.CancelRatio), "cancel-ratio must be from 0 to 1")
+	addFaultIf(x.MaxOutstanding < 1 || x.MaxOutstanding > maxOutstanding, "max-outstanding must be from 1 to %d", maxOutstanding)
+	addFaultIf(x.System.Entries < 1 || x.System.Agents < 1 || x.System.Slots < 1, "system: entries, agents and slots must be positive")
+	addFaultIf(len(x.Jobs) == 0, "jobs must not be empty")
 	for i, m := range x.Jobs {
-		fault(!m.valid(), "jobs[%d]: needs a weight, a service, 1 to %d tasks and run times in order", i, submitter.MaxTasks)
+		addFaultIf(!m.valid(), "jobs[%d]: needs a weight, a service, 1 to %d tasks and run times in order", i, submitter.MaxTasks)
 	}
 	for i, s := range x.Steps {
-		fault(!knownAction(s.Do), "steps[%d]: unknown action %q", i, s.Do)
-		fault(s.At < 0 || s.At > x.Duration, "steps[%d]: at must lie within the duration", i)
-		fault(s.Target < 0 || s.For < 0 || !isRatio(s.Ratio), "steps[%d]: target, for and ratio must not be negative", i)
+		addFaultIf(!isKnownAction(s.Do), "steps[%d]: unknown action %q", i, s.Do)
+		addFaultIf(s.At < 0 || s.At > x.Duration, "steps[%d]: at must lie within the duration", i)
+		addFaultIf(s.Target < 0 || s.For < 0 || !isRatio(s.Ratio), "steps[%d]: target, for and ratio must not be negative", i)
 	}
 	if len(faults) > 0 {
 		return errors.New(strings.Join(faults, "; "))
@@ -226,10 +229,10 @@
 
 func (x *Experiment) setDefaults() {
 	const (
-		settle      = 30 * time.Second
-		outstanding = 4096
-		slots       = 8
-		afterward   = 100 * time.Millisecond
+		settle        = 30 * time.Second
+		outstanding   = 4096
+		slots         = 8
+		followUpDelay = 100 * time.Millisecond
 	)
 	if x.Settle == 0 {
 		x.Settle = settle
@@ -247,10 +250,10 @@
 		x.Arrival.BurstSize = 1
 	}
 	if x.DuplicateAfter == 0 {
-		x.DuplicateAfter = afterward
+		x.DuplicateAfter = followUpDelay
 	}
 	if x.CancelAfter == 0 {
-		x.CancelAfter = afterward
+		x.CancelAfter = followUpDelay
 	}
 	for i := range x.Jobs {
 		if x.Jobs[i].DeclaredFactor == (FloatRange{}) {
@@ -266,7 +269,7 @@
 		m.DeclaredFactor.Min > 0 && m.DeclaredFactor.Max >= m.DeclaredFactor.Min
 }
 
-func knownAction(a Action) bool {
+func isKnownAction(a Action) bool {
 	for _, known := range actions {
 		if a == known {
 			return true
--- a/internal/loader/ideal.go
+++ b/internal/loader/ideal.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// idealTimes returns the response time of each job on one queue over all slots
-// with no delay anywhere, where every run time is known: a free slot takes the
-// longest waiting task of the job with the least work left to start. The jobs are
-// in the order of their arrival.
-func idealTimes(jobs []planned, slots int) []time.Duration {
+// idealResponseTimes returns the response time of each job under an ideal scheduler:
+// one queue for all slots, no delays, and every run time known. A free slot takes the
+// longest waiting task of the job with the least work left to start. Jobs must be in
+// order of arrival.
+func idealResponseTimes(jobs []plannedJob, slots int) []time.Duration {
 	out := make([]time.Duration, len(jobs))
 	q := &idealQueue{}
 	free := make(timeHeap, slots)
@@ -20,59 +20,59 @@
 	for next < len(jobs) || q.Len() > 0 {
 		now = max(now, free[0])
 		if q.Len() == 0 {
-			now = max(now, jobs[next].at)
+			now = max(now, jobs[next].arrival)
 		}
-		for next < len(jobs) && jobs[next].at <= now {
-			q.arrive(next, &jobs[next])
+		for next < len(jobs) && jobs[next].arrival <= now {
+			q.add(next, &jobs[next])
 			next++
 		}
-		job, took := q.take()
-		free[0] = now + took
+		job, runTime := q.takeTask()
+		free[0] = now + runTime
 		heap.Fix(&free, 0)
-		out[job] = max(out[job], now+took-jobs[job].at)
+		out[job] = max(out[job], now+runTime-jobs[job].arrival)
 	}
 	return out
 }
 
-// idealJob is a job with tasks to start.
+// idealJob is a job with tasks that have not started.
 type idealJob struct {
-	index   int
-	left    time.Duration   // left is the sum of waiting.
-	waiting []time.Duration // waiting is sorted, the longest last.
+	index     int
+	remaining time.Duration   // the sum of waiting
+	waiting   []time.Duration // run times in ascending order
 }
 
-// idealQueue is a heap of jobs by the work left to start.
+// idealQueue is a heap of jobs ordered by the work left to start.
 type idealQueue struct{ jobs []*idealJob }
 
-func (q *idealQueue) arrive(index int, p *planned) {
+func (q *idealQueue) add(index int, p *plannedJob) {
 	j := &idealJob{index: index, waiting: slices.Sorted(slices.Values(p.runTimes))}
 	for _, took := range j.waiting {
-		j.left += took
+		j.remaining += took
 	}
 	heap.Push(q, j)
 }
 
-func (q *idealQueue) take() (index int, took time.Duration) {
+func (q *idealQueue) takeTask() (index int, runTime time.Duration) {
 	j := q.jobs[0]
 	last := len(j.waiting) - 1
-	took = j.waiting[last]
+	runTime = j.waiting[last]
 	j.waiting = j.waiting[:last]
-	j.left -= took
+	j.remaining -= runTime
 	if last == 0 {
 		heap.Pop(q)
 	} else {
 		heap.Fix(q, 0)
 	}
-	return j.index, took
+	return j.index, runTime
 }
 
-// Len, Less, Swap, Push and Pop implement heap.Interface.
+// Len implements heap.Interface.
 func (q *idealQueue) Len() int { return len(q.jobs) }
 
-// Less orders by the work left, then by arrival.
+// Less implements heap.Interface: it orders by remaining work, then by arrival.
 func (q *idealQueue) Less(a, b int) bool {
 	return cmp.Or(
-		cmp.Compare(q.jobs[a].left, q.jobs[b].left),
+		cmp.Compare(q.jobs[a].remaining, q.jobs[b].remaining),
 		cmp.Compare(q.jobs[a].index, q.jobs[b].index),
 	) < 0
 }
@@ -90,7 +90,7 @@
 	return last
 }
 
-// timeHeap is a heap of the times at which slots become free.
+// timeHeap is a min-heap of the times at which the slots become free.
 type timeHeap []time.Duration
 
 // Len implements heap.Interface.
--- a/internal/loader/loader_test.go
+++ b/internal/loader/loader_test.go
@@ -16,20 +16,21 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// TestMain fixes the seed of the random tests.
+// TestMain fixes the seed of the property tests.
 func TestMain(m *testing.M) { seeder.Main(m) }
 
-// TestIdeal reads "job at=T tasks=T,T,..." and "ideal slots=N".
+// TestIdeal runs scripts of "job at=T tasks=T,T,...", which adds a job, and "ideal
+// slots=N", which prints the ideal response times of all jobs.
 func TestIdeal(t *testing.T) {
 	scripter.Run(t, "testdata/ideal*.txtar", func(t *testing.T, lines []scripter.Line) string {
 		var out strings.Builder
-		var jobs []planned
+		var jobs []plannedJob
 		for _, l := range lines {
 			switch l.Verb {
 			case "job":
-				jobs = append(jobs, planned{at: duration(t, l.Arg("at")), runTimes: durations(t, l.Arg("tasks"))})
+				jobs = append(jobs, plannedJob{arrival: duration(t, l.Arg("at")), runTimes: durations(t, l.Arg("tasks"))})
 			case "ideal":
-				fmt.Fprintln(&out, idealTimes(jobs, readNumber(t, l.Arg("slots"))))
+				fmt.Fprintln(&out, idealResponseTimes(jobs, readNumber(t, l.Arg("slots"))))
 			default:
 				t.Fatal("unknown verb", l)
 			}
@@ -38,8 +39,9 @@
 	})
 }
 
-// TestChecks reads "job tasks=T,..." , "request job=N id=ID outcome=O results=R,R
-// lost rejected=TEXT" and "start id=ID task=N", and prints the checks that fail.
+// TestChecks runs scripts of "job tasks=T,...", "request job=N id=ID outcome=O
+// results=R,R answer-for=ID lost=yes rejected=TEXT", "sent" (a request without a
+// record), "start id=ID task=N" and "check", which prints the verdict of every check.
 func TestChecks(t *testing.T) {
 	scripter.Run(t, "testdata/checks*.txtar", func(t *testing.T, lines []scripter.Line) string {
 		r := &runner{}
@@ -54,7 +56,7 @@
 		for _, l := range lines {
 			switch l.Verb {
 			case "job":
-				r.jobs = append(r.jobs, planned{runTimes: durations(t, l.Arg("tasks"))})
+				r.jobs = append(r.jobs, plannedJob{runTimes: durations(t, l.Arg("tasks"))})
 			case "sent":
 				r.sent.Add(1)
 			case "request":
@@ -81,8 +83,8 @@
 
 func readRequest(t *testing.T, l scripter.Line) request {
 	t.Helper()
-	q := request{submission: l.Arg("id"), rejected: l.Arg("rejected"), lost: l.Arg("lost") != ""}
-	q.job = readNumber(t, l.Arg("job"))
+	q := request{submission: l.Arg("id"), rejected: l.Arg("rejected"), unanswered: l.Arg("lost") != ""}
+	q.jobIndex = readNumber(t, l.Arg("job"))
 	q.answer.SubmissionID = q.submission
 	if other := l.Arg("answer-for"); other != "" {
 		q.answer.SubmissionID = other
@@ -124,9 +126,9 @@
 	return out
 }
 
-// TestScheduleIsDeterministic checks that an experiment fixes its jobs, that the
-// arrivals are in order and within the duration, and that every draw is within
-// its range.
+// TestScheduleIsDeterministic checks that an experiment always gives the same jobs,
+// that arrivals are in order and within the duration, and that every drawn value lies
+// within its range.
 func TestScheduleIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := DefaultExperiment()
@@ -142,58 +144,58 @@
 			t.Fatal(err)
 		}
 		second, _ := schedule(&x)
-		if diff := cmp.Diff(fmt.Sprintf("%+v", plain(first)), fmt.Sprintf("%+v", plain(second))); diff != "" {
+		if diff := cmp.Diff(fmt.Sprintf("%+v", withoutClasses(first)), fmt.Sprintf("%+v", withoutClasses(second))); diff != "" {
 			t.Fatalf("two schedules differ:\n%s", diff)
 		}
 		last := time.Duration(0)
 		for i := range first {
-			if first[i].at < last || first[i].at >= x.Duration {
-				t.Fatalf("arrival at %s after %s", first[i].at, last)
+			if first[i].arrival < last || first[i].arrival >= x.Duration {
+				t.Fatalf("arrival at %s after %s", first[i].arrival, last)
 			}
-			last = first[i].at
+			last = first[i].arrival
 			checkRanges(t, &first[i])
 		}
 	})
 }
 
-func checkRanges(t *rapid.T, p *planned) {
-	if n := len(p.runTimes); n < p.mix.Tasks.Min || n > p.mix.Tasks.Max {
+func checkRanges(t *rapid.T, p *plannedJob) {
+	if n := len(p.runTimes); n < p.class.Tasks.Min || n > p.class.Tasks.Max {
 		t.Fatalf("%d tasks", n)
 	}
 	for _, took := range p.runTimes {
-		if took < p.mix.RunTime.Min || took > p.mix.RunTime.Max {
+		if took < p.class.RunTime.Min || took > p.class.RunTime.Max {
 			t.Fatalf("run time %s", took)
 		}
 	}
 }
 
-// plain drops the pointer of each job, which differs between experiments.
-func plain(jobs []planned) []planned {
-	out := make([]planned, len(jobs))
+// withoutClasses returns a copy of the jobs without the pointers to their classes,
+// which differ between schedules.
+func withoutClasses(jobs []plannedJob) []plannedJob {
+	out := make([]plannedJob, len(jobs))
 	copy(out, jobs)
 	for i := range out {
-		out[i].mix = nil
+		out[i].class = nil
 	}
 	return out
 }
 
-// TestIdealIsBound checks that no job is faster than its longest task or than its
-// work on all slots, and that one slot more never makes the sum worse than one
-// queue in order could be.
+// TestIdealIsBound checks that the ideal response time of a job is neither shorter
+// than its longest task nor shorter than its total work divided by the slots.
 func TestIdealIsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 8).Draw(t, "slots")
-		var jobs []planned
+		var jobs []plannedJob
 		at := 0
 		for range rapid.IntRange(1, 12).Draw(t, "jobs") {
 			at += rapid.IntRange(0, 50).Draw(t, "gap")
-			p := planned{at: time.Duration(at)}
+			p := plannedJob{arrival: time.Duration(at)}
 			for _, took := range rapid.SliceOfN(rapid.IntRange(1, 40), 1, 10).Draw(t, "tasks") {
 				p.runTimes = append(p.runTimes, time.Duration(took))
 			}
 			jobs = append(jobs, p)
 		}
-		for i, took := range idealTimes(jobs, slots) {
+		for i, took := range idealResponseTimes(jobs, slots) {
 			var longest, sum time.Duration
 			for _, r := range jobs[i].runTimes {
 				longest, sum = max(longest, r), sum+r
@@ -205,7 +207,8 @@
 	})
 }
 
-// TestShippedExperiments checks that the experiments of both users can be read.
+// TestShippedExperiments checks that the experiments under examples can be parsed and
+// scheduled.
 func TestShippedExperiments(t *testing.T) {
 	for _, name := range []string{"tuul", "kwaebibirem"} {
 		file := "../../examples/" + name + "/experiment.yaml"
@@ -233,7 +236,8 @@
 	}
 }
 
-// TestMetricsAndLogs reads a process's metrics and a stand-in's log.
+// TestMetricsAndLogs checks the parsing of a process's metrics and of the log of an
+// emulated upstream.
 func TestMetricsAndLogs(t *testing.T) {
 	text := "# HELP sardinelock_peer_messages_total x\n" +
 		"sardinelock_peer_messages_total{kind=\"start\"} 12\nsardinelock_peer_messages_total{kind=\"a b\"} 3e2 17000\n" +
--- a/internal/loader/plot.go
+++ b/internal/loader/plot.go
@@ -15,21 +15,22 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// Plot writes a figure of the response times over the run, beside the ideal's, and
-// the steps. The name's ending chooses the format, such as .png or .svg.
+// Plot writes a scatter plot of the measured and the ideal response times over the
+// run, with the steps marked. The extension of the file name selects the format, such
+// as .png or .svg.
 func (r *Result) Plot(name string) error {
 	const op = "plot"
 	p := plot.New()
 	p.Title.Text = r.Experiment
 	p.X.Label.Text = "arrival in s"
 	p.Y.Label.Text = "response in ms"
-	points := slices.SortedFunc(slices.Values(r.points), func(a, b point) int { return cmp.Compare(a.at, b.at) })
-	seen, ideal := make(plotter.XYs, len(points)), make(plotter.XYs, len(points))
+	points := slices.SortedFunc(slices.Values(r.points), func(a, b point) int { return cmp.Compare(a.arrival, b.arrival) })
+	measured, ideal := make(plotter.XYs, len(points)), make(plotter.XYs, len(points))
 	for i, pt := range points {
-		seen[i] = plotter.XY{X: pt.at.Seconds(), Y: float64(pt.latency.Microseconds()) / 1e3}
-		ideal[i] = plotter.XY{X: pt.at.Seconds(), Y: float64(pt.ideal.Microseconds()) / 1e3}
+		measured[i] = plotter.XY{X: pt.arrival.Seconds(), Y: float64(pt.latency.Microseconds()) / 1e3}
+		ideal[i] = plotter.XY{X: pt.arrival.Seconds(), Y: float64(pt.ideal.Microseconds()) / 1e3}
 	}
-	if err := addScatter(p, "seen", seen, color.RGBA{R: 200, A: 255}); err != nil {
+	if err := addScatter(p, "seen", measured, color.RGBA{R: 200, A: 255}); err != nil {
 		return &Error{Op: op, Kind: KindOutput, Err: err}
 	}
 	if err := addScatter(p, "ideal", ideal, color.RGBA{B: 200, A: 255}); err != nil {
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// addSteps writes the name of each step at its time.
+// addSteps labels the plot with the name of each step at the time of the step.
 func (r *Result) addSteps(p *plot.Plot) error {
 	var labels plotter.XYLabels
 	for _, s := range r.Steps {
--- a/internal/loader/records.go
+++ b/internal/loader/records.go
@@ -16,22 +16,22 @@
 	"github.com/juju/errors"
 )
 
-// The counters of a process's metrics that count what it sent to its peers.
+// The metrics that count the messages and bytes that a process sent to its peers.
 const (
 	messagesMetric = "sardinelock_peer_messages"
 	bytesMetric    = "sardinelock_peer_bytes"
 	scrapeTimeout  = 2 * time.Second
 )
 
-// startLine is the part of a stand-in upstream's log line that is read.
-type startLine struct {
+// startLogLine holds the fields that are read from a log line of an emulated upstream.
+type startLogLine struct {
 	Event        string `json:"event"`
 	SubmissionID string `json:"submission-id"`
 	Task         int    `json:"task"`
 }
 
-// ReadStartLogs returns a function that counts the starts in the logs that
-// "dev upstream" processes write to standard output.
+// ReadStartLogs returns a function that counts task starts in log files; they hold the
+// standard output of "dev upstream" processes.
 func ReadStartLogs(names []string) func(into map[TaskRef]int) error {
 	return func(into map[TaskRef]int) error {
 		for _, name := range names {
@@ -50,7 +50,7 @@
 func addStarts(into map[TaskRef]int, text []byte) error {
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	for lines.Scan() {
-		var l startLine
+		var l startLogLine
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			return errors.Trace(err)
 		}
@@ -61,8 +61,9 @@
 	return lines.Err()
 }
 
-// ScrapePeerTraffic returns a function that sums the messages that processes sent to
-// their peers, read from their metrics. A process that cannot be read counts 0.
+// ScrapePeerTraffic returns a function that sums the traffic that processes sent to
+// their peers, read from their metrics. A process whose metrics cannot be read counts
+// as zero.
 func ScrapePeerTraffic(processes []netip.AddrPort) func() PeerTraffic {
 	client := &http.Client{Timeout: scrapeTimeout}
 	return func() PeerTraffic {
@@ -93,7 +94,7 @@
 	return PeerTraffic{Count: sumMetric(string(text), messagesMetric), Bytes: sumMetric(string(text), bytesMetric)}
 }
 
-// sumMetric sums the samples of a counter over all its attributes.
+// sumMetric sums the samples of a counter over all its label sets.
 func sumMetric(text, name string) uint64 {
 	sum := 0.0
 	for line := range strings.Lines(text) {
--- a/internal/loader/result.go
+++ b/internal/loader/result.go
@@ -15,13 +15,14 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Count is how many requests had one kind of answer.
+// Count is the number of requests with one kind of answer.
 type Count struct {
 	Answer string `json:"answer"`
 	Count  int    `json:"count"`
 }
 
-// Latency is a distribution of response times, counted from the intended start.
+// Latency is a distribution of response times, measured from the scheduled time of
+// sending.
 type Latency struct {
 	Count int64              `json:"count"`
 	P50   submitter.Duration `json:"p50"`
@@ -31,26 +32,29 @@
 	Max   submitter.Duration `json:"max"`
 }
 
-// Result is what was seen in a run.
+// Result holds the measurements and checks of a run.
 type Result struct {
 	Experiment string             `json:"experiment"`
 	Seed       uint64             `json:"seed"`
 	Elapsed    submitter.Duration `json:"took"`
 	Jobs       int                `json:"jobs"`
 	Requests   int                `json:"requests"`
-	// Shed counts arrivals that were not sent because too many requests were outstanding.
+	// Shed counts arrivals that were not sent because MaxOutstanding requests were in
+	// flight.
 	Shed    int     `json:"shed"`
 	Answers []Count `json:"answers"`
-	// CompleteLatency is the latency of complete jobs, OtherLatency that of all other answers;
-	// resubmissions are in neither.
+	// CompleteLatency is the latency of complete jobs, OtherLatency that of all other
+	// requests. Both exclude resubmissions.
 	CompleteLatency Latency `json:"complete-latency"`
 	OtherLatency    Latency `json:"other-latency"`
-	// MeanRatio is the mean response time of complete jobs against the ideal's.
+	// MeanRatio is the ratio of the mean response time of complete jobs to the ideal
+	// mean.
 	MeanRatio float64 `json:"mean-ratio-to-ideal"`
-	// RatioP50 and RatioP99 are quantiles of the ratio of each job.
+	// RatioP50 and RatioP99 are quantiles, over complete jobs, of the ratio of the
+	// response time to the ideal one.
 	RatioP50 float64 `json:"p50-ratio-to-ideal"`
 	RatioP99 float64 `json:"p99-ratio-to-ideal"`
-	// Starts is the number of task starts by the start records.
+	// Starts is the number of task starts in the start records.
 	Starts          int     `json:"starts"`
 	StartsPerSecond float64 `json:"starts-per-second"`
 	// MessagesPerTask and BytesPerTask are zero if messages cannot be counted.
@@ -62,29 +66,29 @@
 	points []point
 }
 
-// point is one complete job in the plot.
-type point struct{ at, latency, ideal time.Duration }
+// point is a complete job in the plot.
+type point struct{ arrival, latency, ideal time.Duration }
 
 const (
 	histogramMax    = int64(time.Hour / time.Microsecond)
 	histogramDigits = 3
 )
 
-// Valid reports whether every check held and every arrival was sent.
+// Valid reports whether no check was violated and every arrival was sent.
 func (r *Result) Valid() bool {
 	return r.Shed == 0 && !slices.ContainsFunc(r.Checks, func(c Check) bool { return c.Violations > 0 })
 }
 
-// result gathers what the requests saw.
+// result computes the result from the recorded requests.
 func (r *runner) result(m PeerTraffic) (*Result, error) {
-	took := time.Since(r.begun)
+	elapsed := time.Since(r.started)
 	out := &Result{
 		Experiment: r.experiment.Name,
 		Seed:       r.experiment.Seed,
-		Elapsed:    submitter.Duration(took),
+		Elapsed:    submitter.Duration(elapsed),
 		Jobs:       len(r.jobs),
 		Requests:   len(r.requests),
-		Shed:       r.shed,
+		Shed:       r.notSent,
 		Answers:    r.countAnswers(),
 		Checks:     r.checkAnswers(),
 		Steps:      r.steps,
@@ -116,7 +120,7 @@
 func (r *runner) countAnswers() []Count {
 	counts := make(map[string]int)
 	for i := range r.requests {
-		counts[r.requests[i].kind()]++
+		counts[r.requests[i].answerKind()]++
 	}
 	var out []Count
 	for answer, n := range counts {
@@ -128,10 +132,10 @@
 	return out
 }
 
-// kind names the answer of a request.
-func (q *request) kind() string {
+// answerKind names the kind of answer that a request got, as in Count.Answer.
+func (q *request) answerKind() string {
 	switch {
-	case q.lost:
+	case q.unanswered:
 		return "none"
 	case q.rejected != "":
 		return q.rejected
@@ -143,29 +147,29 @@
 
 func (r *runner) addLatency(out *Result) {
 	complete, other := newHistogram(), newHistogram()
-	ideal := idealTimes(r.jobs, r.target.Slots)
+	ideal := idealResponseTimes(r.jobs, r.target.Slots)
 	var ratios []float64
-	var seen, wanted time.Duration
+	var totalLatency, totalIdeal time.Duration
 	for i := range r.requests {
 		q := &r.requests[i]
 		if q.duplicate {
 			continue
 		}
-		if q.lost || q.answer.Outcome != submitter.OutcomeComplete {
+		if q.unanswered || q.answer.Outcome != submitter.OutcomeComplete {
 			record(other, q.latency)
 			continue
 		}
 		record(complete, q.latency)
-		best := max(ideal[q.job], time.Microsecond)
-		ratios = append(ratios, float64(q.latency)/float64(best))
-		seen += q.latency
-		wanted += best
-		out.points = append(out.points, point{r.jobs[q.job].at, q.latency, best})
+		idealLatency := max(ideal[q.jobIndex], time.Microsecond)
+		ratios = append(ratios, float64(q.latency)/float64(idealLatency))
+		totalLatency += q.latency
+		totalIdeal += idealLatency
+		out.points = append(out.points, point{r.jobs[q.jobIndex].arrival, q.latency, idealLatency})
 	}
 	out.CompleteLatency, out.OtherLatency = latencyOf(complete), latencyOf(other)
 	if len(ratios) > 0 {
 		slices.Sort(ratios)
-		out.MeanRatio = float64(seen) / float64(wanted)
+		out.MeanRatio = float64(totalLatency) / float64(totalIdeal)
 		out.RatioP50 = ratios[len(ratios)/2]
 		out.RatioP99 = ratios[len(ratios)*99/100]
 	}
@@ -176,7 +180,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// A run is shorter than the histogram's range.
+	// No error is possible: a run is shorter than the histogram's range.
 	_ = h.RecordValue(max(1, d.Microseconds()))
 }
 
@@ -201,7 +205,7 @@
 	return nil
 }
 
-// WriteTable writes the result for a person.
+// WriteTable writes the result as a human-readable table.
 func (r *Result) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "experiment\t%s, seed %d\n", r.Experiment, r.Seed)
--- a/internal/loader/runner.go
+++ b/internal/loader/runner.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	progressEvery   = time.Second
-	cancelTimeout   = 10 * time.Second
-	idleConnections = 256
+	progressInterval = time.Second
+	cancelTimeout    = 10 * time.Second
+	idleConnections  = 256
 )
 
-// request is one request that was sent and what became of it. Requests with the
-// same submission differ in which try they are.
+// request records a request that was sent and its answer. A submission that is sent
+// twice has two requests.
 type request struct {
-	job        int // job is the index in the schedule.
+	jobIndex   int // index in the schedule
 	submission string
 	duplicate  bool
 	answer     submitter.Answer
-	latency    time.Duration // latency counts from the intended start.
-	end        time.Duration // end counts from the begin of the run.
-	lost       bool          // lost means that no answer could be read.
-	rejected   string        // rejected has the status and title of a problem; empty for none.
+	latency    time.Duration // since the scheduled time of sending
+	end        time.Duration // since the start of the run
+	unanswered bool          // no answer, or none that can be decoded
+	rejected   string        // status and title of the problem; empty if none
 }
 
-// runner is one run of an experiment.
+// runner runs an experiment once.
 type runner struct {
 	experiment *Experiment
 	target     Target
-	jobs       []planned
-	begun      time.Time
+	jobs       []plannedJob
+	started    time.Time
 	http       *http.Client
 	progress   io.Writer
 
@@ -47,19 +47,19 @@
 
 	mu       sync.Mutex
 	requests []request
-	shed     int // shed counts arrivals that were not sent.
+	notSent  int // arrivals beyond MaxOutstanding
 	steps    []StepResult
 }
 
-// StepResult is one step as it was carried out.
+// StepResult is the result of a step.
 type StepResult struct {
 	At    time.Duration `json:"-"`
 	Do    Action        `json:"do"`
 	Error string        `json:"error,omitempty"`
 }
 
-// Run runs an experiment against a target and returns what was seen. Progress
-// lines go to the writer, which may be nil.
+// Run runs an experiment against a target and returns its result. Progress lines are
+// written to progress, which may be nil.
 func Run(ctx context.Context, x Experiment, t Target, progress io.Writer) (*Result, error) {
 	if err := t.check(&x); err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: progressEvery}
+	transport := &http.Transport{MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: progressInterval}
 	defer transport.CloseIdleConnections()
 	r := &runner{
 		experiment: &x,
@@ -77,50 +77,51 @@
 		http:       &http.Client{Transport: transport},
 		progress:   progress,
 	}
-	before := r.messages()
-	r.begun = time.Now()
+	before := r.peerTraffic()
+	r.started = time.Now()
 	r.run(ctx)
-	after := r.messages()
+	after := r.peerTraffic()
 	return r.result(PeerTraffic{Count: after.Count - before.Count, Bytes: after.Bytes - before.Bytes})
 }
 
-func (r *runner) messages() PeerTraffic {
+func (r *runner) peerTraffic() PeerTraffic {
 	if r.target.PeerTraffic == nil {
 		return PeerTraffic{}
 	}
 	return r.target.PeerTraffic()
 }
 
-// run sends every job at its time and waits for the answers.
+// run sends every job at its scheduled time and waits for the answers.
 func (r *runner) run(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.experiment.Duration+r.experiment.Settle)
 	defer cancel()
-	quiet := make(chan struct{})
-	var reporting sync.WaitGroup
-	reporting.Go(func() { r.report(quiet) })
+	stop := make(chan struct{})
+	var reporter sync.WaitGroup
+	reporter.Go(func() { r.report(stop) })
 	for _, s := range r.experiment.Steps {
 		r.wg.Go(func() { r.step(ctx, s) })
 	}
 	for i := range r.jobs {
-		if !r.sleepUntil(ctx, r.jobs[i].at) {
+		if !r.sleepUntil(ctx, r.jobs[i].arrival) {
 			break
 		}
 		if r.outstanding.Load() >= int64(r.experiment.MaxOutstanding) {
 			r.mu.Lock()
-			r.shed++
+			r.notSent++
 			r.mu.Unlock()
 			continue
 		}
 		r.send(ctx, i)
 	}
 	r.wg.Wait()
-	close(quiet)
-	reporting.Wait()
+	close(stop)
+	reporter.Wait()
 }
 
-// sleepUntil waits for a time of the run and reports false if the run ended.
+// sleepUntil waits until the given time since the start of the run. It reports false
+// if the context ends first.
 func (r *runner) sleepUntil(ctx context.Context, at time.Duration) bool {
-	wait := at - time.Since(r.begun)
+	wait := at - time.Since(r.started)
 	if wait <= 0 {
 		return ctx.Err() == nil
 	}
@@ -132,29 +133,30 @@
 	}
 }
 
-// send begins the requests of one job.
+// send starts the requests of one job: its submission, and its resubmission and
+// cancellation if it has them.
 func (r *runner) send(ctx context.Context, index int) {
 	p := &r.jobs[index]
-	id := submitter.NewSubmissionID(p.key)
-	body := p.job()
-	r.submit(ctx, index, id, body, p.at, false)
-	if p.duplicate > 0 {
+	id := submitter.NewSubmissionID(p.requestKey)
+	body := p.submission()
+	r.submit(ctx, index, id, body, p.arrival, false)
+	if p.duplicateDelay > 0 {
 		r.wg.Go(func() {
-			if r.sleepUntil(ctx, p.at+p.duplicate) {
-				r.submit(ctx, index, id, body, p.at+p.duplicate, true)
+			if r.sleepUntil(ctx, p.arrival+p.duplicateDelay) {
+				r.submit(ctx, index, id, body, p.arrival+p.duplicateDelay, true)
 			}
 		})
 	}
-	if p.cancel > 0 {
+	if p.cancelDelay > 0 {
 		r.wg.Go(func() {
-			if r.sleepUntil(ctx, p.at+p.cancel) {
+			if r.sleepUntil(ctx, p.arrival+p.cancelDelay) {
 				r.cancel(ctx, p, id)
 			}
 		})
 	}
 }
 
-// submit sends one request. A resubmission goes to the next entry.
+// submit sends one request in the background. A resubmission goes to the next entry.
 func (r *runner) submit(ctx context.Context, index int, id string, body submitter.Job, at time.Duration, duplicate bool) {
 	p := &r.jobs[index]
 	r.sent.Add(1)
@@ -162,19 +164,19 @@
 	r.wg.Go(func() {
 		defer r.outstanding.Add(-1)
 		client := submitter.New(submitter.Options{
-			Entries: r.entriesFrom(p.entry, duplicate),
+			Entries: r.entriesFrom(p.firstEntry, duplicate),
 			Team:    p.team,
 			Token:   r.token(p),
 			HTTP:    r.http,
 		})
 		answer, err := client.Submit(ctx, p.service, id, body)
-		end := time.Since(r.begun)
+		end := time.Since(r.started)
 		out := request{
-			job: index, submission: id, duplicate: duplicate,
+			jobIndex: index, submission: id, duplicate: duplicate,
 			answer: answer, latency: end - at, end: end,
 		}
 		out.classify(err, answer)
-		if !out.lost {
+		if !out.unanswered {
 			r.answered.Add(1)
 		}
 		r.mu.Lock()
@@ -183,12 +185,12 @@
 	})
 }
 
-// cancel asks the job's entry to cancel it. Whether that came in time shows in
-// the job's answer.
-func (r *runner) cancel(ctx context.Context, p *planned, id string) {
+// cancel asks the job's entry to cancel the job. The job's answer shows whether the
+// cancellation was in time.
+func (r *runner) cancel(ctx context.Context, p *plannedJob, id string) {
 	ctx, stop := context.WithTimeout(ctx, cancelTimeout)
 	defer stop()
-	entry := r.target.Entries[p.entry%len(r.target.Entries)]
+	entry := r.target.Entries[p.firstEntry%len(r.target.Entries)]
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+entry.String()+"/v1/jobs/"+id, nil)
 	if err != nil {
 		return
@@ -204,8 +206,8 @@
 	}
 }
 
-// token returns the bearer token of a job's team; empty if there is none.
-func (r *runner) token(p *planned) string {
+// token returns the bearer token of a job's team; it is empty if there is none.
+func (r *runner) token(p *plannedJob) string {
 	if r.target.Token == "" && p.team != "" && r.experiment.TokenSuffix != "" {
 		return p.team + r.experiment.TokenSuffix
 	}
@@ -216,32 +218,32 @@
 	if !r.sleepUntil(ctx, s.At) {
 		return
 	}
-	done := StepResult{At: time.Since(r.begun), Do: s.Do}
+	result := StepResult{At: time.Since(r.started), Do: s.Do}
 	if err := r.target.Step(ctx, s); err != nil {
-		done.Error = err.Error()
+		result.Error = err.Error()
 	}
 	r.mu.Lock()
-	r.steps = append(r.steps, done)
+	r.steps = append(r.steps, result)
 	r.mu.Unlock()
 }
 
-// report writes a progress line a second until quiet is closed.
-func (r *runner) report(quiet <-chan struct{}) {
+// report writes a progress line every second until stop is closed.
+func (r *runner) report(stop <-chan struct{}) {
 	if r.progress == nil {
-		<-quiet
+		<-stop
 		return
 	}
-	t := time.NewTicker(progressEvery)
+	t := time.NewTicker(progressInterval)
 	defer t.Stop()
 	last := int64(0)
 	for {
 		select {
-		case <-quiet:
+		case <-stop:
 			return
 		case <-t.C:
 			answered := r.answered.Load()
 			fmt.Fprintf(r.progress, "%4.0fs sent %d of %d, answered %d (%d/s), outstanding %d\n",
-				time.Since(r.begun).Seconds(), r.sent.Load(), len(r.jobs), answered, answered-last, r.outstanding.Load())
+				time.Since(r.started).Seconds(), r.sent.Load(), len(r.jobs), answered, answered-last, r.outstanding.Load())
 			last = answered
 		}
 	}
--- a/internal/loader/schedule.go
+++ b/internal/loader/schedule.go
@@ -11,41 +11,41 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Arrival times are drawn from one stream and jobs from another, so that a change
-// of the process leaves the jobs as they are.
+// Arrival times and jobs are drawn from separate random streams, so that changing the
+// arrival process does not change the jobs.
 const (
 	arrivalStream = 3
 	jobStream     = 4
 )
 
-// planned is one job of the schedule.
-type planned struct {
-	at       time.Duration // at counts from the begin of the run.
-	service  string
-	team     string
-	entry    int             // entry is taken modulo the number of entries.
-	runTimes []time.Duration // runTimes are the true run times.
-	declared []time.Duration
-	mix      *JobClass
-	key      string // key is the request key; empty without one.
-	// duplicate and cancel are the delays of a resubmission and of a cancellation;
-	// zero means none.
-	duplicate time.Duration
-	cancel    time.Duration
+// plannedJob is a job of the schedule.
+type plannedJob struct {
+	arrival    time.Duration // since the start of the run
+	service    string
+	team       string
+	firstEntry int             // index modulo the number of entries
+	runTimes   []time.Duration // actual run times of the tasks
+	declared   []time.Duration
+	class      *JobClass
+	requestKey string // empty if the job has none
+	// duplicateDelay and cancelDelay are the times from the arrival to the resubmission
+	// and to the cancellation of the job; zero if there is none.
+	duplicateDelay time.Duration
+	cancelDelay    time.Duration
 }
 
-// schedule draws all jobs of an experiment. The same experiment gives the same
-// jobs.
-func schedule(x *Experiment) ([]planned, error) {
-	times := arrivals(x, rand.New(rand.NewPCG(x.Seed, arrivalStream)))
+// schedule draws all jobs of an experiment. It is deterministic: equal experiments
+// give equal jobs.
+func schedule(x *Experiment) ([]plannedJob, error) {
+	times := drawArrivals(x, rand.New(rand.NewPCG(x.Seed, arrivalStream)))
 	random := rand.New(rand.NewPCG(x.Seed, jobStream))
-	out := make([]planned, 0, len(times))
+	out := make([]plannedJob, 0, len(times))
 	tasks := 0
 	for i, at := range times {
-		p := draw(x, random)
-		p.at = at
-		if p.mix.RequestKey {
-			p.key = fmt.Sprintf("%s-%d-%d", x.Name, x.Seed, i)
+		p := drawJob(x, random)
+		p.arrival = at
+		if p.class.RequestKey {
+			p.requestKey = fmt.Sprintf("%s-%d-%d", x.Name, x.Seed, i)
 		}
 		tasks += len(p.runTimes)
 		if tasks > maxTasks {
@@ -56,7 +56,7 @@
 	return out, nil
 }
 
-func arrivals(x *Experiment, random *rand.Rand) []time.Duration {
+func drawArrivals(x *Experiment, random *rand.Rand) []time.Duration {
 	var out []time.Duration
 	size := 1
 	if x.Arrival.Process == ArrivalBurst {
@@ -77,30 +77,31 @@
 	return out
 }
 
-// draw draws one job. The number of draws a job depends only on the job.
-func draw(x *Experiment, random *rand.Rand) planned {
-	m := drawMix(x.Jobs, random)
-	p := planned{service: m.Service, mix: m, entry: int(random.Uint32() >> 1)}
+// drawJob draws one job. The number of random values that it takes depends only on
+// the job drawn.
+func drawJob(x *Experiment, random *rand.Rand) plannedJob {
+	m := drawClass(x.Jobs, random)
+	p := plannedJob{service: m.Service, class: m, firstEntry: int(random.Uint32() >> 1)}
 	if len(x.Teams) > 0 {
 		p.team = x.Teams[random.IntN(len(x.Teams))]
 	}
 	n := m.Tasks.Min + random.IntN(m.Tasks.Max-m.Tasks.Min+1)
 	for range n {
-		took := m.RunTime.Min + time.Duration(random.Float64()*float64(m.RunTime.Max-m.RunTime.Min))
+		runTime := m.RunTime.Min + time.Duration(random.Float64()*float64(m.RunTime.Max-m.RunTime.Min))
 		factor := m.DeclaredFactor.Min + random.Float64()*(m.DeclaredFactor.Max-m.DeclaredFactor.Min)
-		p.runTimes = append(p.runTimes, took)
-		p.declared = append(p.declared, time.Duration(float64(took)*factor))
+		p.runTimes = append(p.runTimes, runTime)
+		p.declared = append(p.declared, time.Duration(float64(runTime)*factor))
 	}
 	if random.Float64() < x.DuplicateRatio {
-		p.duplicate = x.DuplicateAfter
+		p.duplicateDelay = x.DuplicateAfter
 	}
 	if random.Float64() < x.CancelRatio {
-		p.cancel = x.CancelAfter
+		p.cancelDelay = x.CancelAfter
 	}
 	return p
 }
 
-func drawMix(mixes []JobClass, random *rand.Rand) *JobClass {
+func drawClass(mixes []JobClass, random *rand.Rand) *JobClass {
 	sum := 0.0
 	for i := range mixes {
 		sum += mixes[i].Weight
@@ -115,19 +116,19 @@
 	return &mixes[len(mixes)-1]
 }
 
-// job returns the body of the submission.
-func (p *planned) job() submitter.Job {
+// submission returns the body of the request that submits the job.
+func (p *plannedJob) submission() submitter.Job {
 	j := submitter.Job{
-		Deadline:   submitter.Duration(p.mix.Deadline),
-		RequestKey: p.key,
+		Deadline:   submitter.Duration(p.class.Deadline),
+		RequestKey: p.requestKey,
 		Tasks:      make([]submitter.Task, len(p.runTimes)),
 	}
 	for i := range j.Tasks {
 		j.Tasks[i] = submitter.Task{
 			Payload:     json.RawMessage(`{"run-time":"` + p.runTimes[i].String() + `"}`),
 			RunTime:     submitter.Duration(p.declared[i]),
-			MemoryBytes: p.mix.MemoryBytes,
-			Repeatable:  p.mix.Repeatable,
+			MemoryBytes: p.class.MemoryBytes,
+			Repeatable:  p.class.Repeatable,
 		}
 	}
 	return j
