--- a/internal/surveyor/administration.go
+++ b/internal/surveyor/administration.go
@@ -10,41 +10,43 @@
 	"github.com/juju/errors"
 )
 
-// listingTime is how long listings are asked for at one size, one after the other;
-// the kernel counts processor time in steps of [clockTick].
-const listingTime = 2 * time.Second
+// listingDuration is how long listings are requested, one after the other, at one
+// size. It spans many steps of [clockTick], in which the kernel counts processor time.
+const listingDuration = 2 * time.Second
 
-// listing is the cost of one call of the administration API.
+// listing is the cost of one request that lists the upstreams.
 type listing struct {
-	time  float64 // time is the processor time of the entry in microseconds.
-	bytes float64 // bytes is the size of the answer.
+	cpuTime float64 // processor time of the entry in microseconds
+	bytes   float64 // size of the response body
 }
 
-// measureListing asks an entry for its upstreams again and again and returns the
-// cost of one call, less what the process uses at rest.
+// measureListing requests an entry's list of upstreams repeatedly and returns the mean
+// cost of one request. The processor time that the process uses when idle is
+// subtracted.
 func measureListing(ctx context.Context, admin netip.AddrPort, pid int, idleCores float64) (listing, error) {
 	before, err := ReadUsage(pid)
 	if err != nil {
 		return listing{}, err
 	}
-	calls, size, begun := 0, 0, time.Now()
-	for time.Since(begun) < listingTime {
+	calls, size, started := 0, 0, time.Now()
+	for time.Since(started) < listingDuration {
 		n, err := list(ctx, admin)
 		if err != nil {
 			return listing{}, err
 		}
 		calls, size = calls+1, n
 	}
-	took := time.Since(begun)
+	elapsed := time.Since(started)
 	after, err := ReadUsage(pid)
 	if err != nil {
 		return listing{}, err
 	}
-	used := (after.ProcessorTime - before.ProcessorTime).Seconds() - idleCores*took.Seconds()
-	return listing{time: used / float64(calls) * 1e6, bytes: float64(size)}, nil
+	used := (after.ProcessorTime - before.ProcessorTime).Seconds() - idleCores*elapsed.Seconds()
+	return listing{cpuTime: used / float64(calls) * 1e6, bytes: float64(size)}, nil
 }
 
-// list asks for the upstreams once and returns the size of the answer in bytes.
+// list requests the list of upstreams once and returns the size of the response body
+// in bytes.
 func list(ctx context.Context, admin netip.AddrPort) (int, error) {
 	const op = "list-upstreams"
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin.String()+"/v1/admin/upstreams", nil)
--- a/internal/surveyor/client.go
+++ b/internal/surveyor/client.go
@@ -14,32 +14,33 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// clientsInFlight is the number of jobs among which the memory of one is measured.
-const clientsInFlight = 50
+// jobsInFlight is the number of concurrent jobs over which the memory of one job is
+// averaged.
+const jobsInFlight = 50
 
-// entryFunc stands for an entry on the client's side of HTTP, so that what is
-// measured is the client library alone.
+// entryFunc replaces the HTTP transport and the entry behind it, so that only the cost
+// of the client library is measured.
 type entryFunc func(*http.Request) (*http.Response, error)
 
 // RoundTrip implements [http.RoundTripper].
 func (f entryFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// clientSlopes measures the client library by the tasks of a job: its memory while
-// the job is in flight, and its processor time to submit it and to read the answer.
+// clientSlopes measures the client library by the number of tasks of a job: its memory
+// while the job is in flight, and the time to submit it and to decode the answer.
 func clientSlopes() ([]Slope, error) {
 	m := newMeters("task of a job", meter{"client-job-bytes", "B"}, meter{"client-job-time", "us"})
 	for _, n := range taskCounts {
-		spent, err := clientTime(n)
+		meanTime, err := clientTime(n)
 		if err != nil {
 			return nil, err
 		}
-		m.add(float64(n), clientMemory(n), spent)
+		m.add(float64(n), clientMemory(n), meanTime)
 	}
 	return m.slopes(), nil
 }
 
-// clientTime returns the mean time of a job that is answered at once, in
-// microseconds.
+// clientTime returns the mean time in microseconds to submit a job that is answered
+// immediately.
 func clientTime(tasks int) (float64, error) {
 	answer, err := json.Marshal(answerBody(tasks))
 	if err != nil {
@@ -51,20 +52,20 @@
 		}
 		return responseOf(answer), nil
 	})
-	var fault error
-	spent := microseconds(func() {
+	var submitErr error
+	meanTime := meanMicroseconds(func() {
 		a, err := client.Submit(context.Background(), "quote", "", clientJob(tasks))
 		if err == nil && (a.Outcome != submitter.OutcomeComplete || len(a.Results) != tasks) {
 			err = &Error{Op: "client", Kind: KindSystem, Err: errors.Errorf("%s with %d results", a.Outcome, len(a.Results))}
 		}
 		if err != nil {
-			fault = err
+			submitErr = err
 		}
 	})
-	return spent, fault
+	return meanTime, submitErr
 }
 
-// clientMemory returns the memory of one job that waits for its answer, in bytes.
+// clientMemory returns the memory in bytes of one job that waits for its answer.
 func clientMemory(tasks int) float64 {
 	var arrived, ended sync.WaitGroup
 	release := make(chan struct{})
@@ -77,15 +78,15 @@
 	defer ended.Wait()
 	defer close(release)
 	defer cancel()
-	size := heapOf(func() any {
-		for range clientsInFlight {
+	size := heapGrowth(func() any {
+		for range jobsInFlight {
 			arrived.Add(1)
 			ended.Go(func() { _, _ = client.Submit(ctx, "quote", "", clientJob(tasks)) })
 		}
 		arrived.Wait()
 		return client
 	})
-	return size / clientsInFlight
+	return size / jobsInFlight
 }
 
 func clientOf(entry entryFunc) *submitter.Client {
--- a/internal/surveyor/connections.go
+++ b/internal/surveyor/connections.go
@@ -24,11 +24,11 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Options are what the measurements over connections share.
+// Options are the parameters of all measurements over connections.
 type Options struct {
-	// PID is the process that is measured; it runs on this machine.
+	// PID is the id of the measured process, which must run on this machine.
 	PID int
-	// MeasurementDuration is how long each size is measured after it has settled.
+	// MeasurementDuration is how long each size is measured, after the settling time.
 	MeasurementDuration time.Duration
 	Sizes               []int
 	Limits              coordinator.Limits
@@ -37,18 +37,18 @@
 }
 
 const (
-	settleTime   = 2 * time.Second
-	stopTimeout  = time.Second
-	readyTimeout = 30 * time.Second
-	readyPoll    = 20 * time.Millisecond
-	slots        = 8
-	longTTL      = time.Minute
+	settleTime       = 2 * time.Second
+	stopTimeout      = time.Second
+	readyTimeout     = 30 * time.Second
+	readyPoll        = 20 * time.Millisecond
+	slotsPerUpstream = 8
+	announcementTTL  = time.Minute
 )
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// crowd is a set of processes' worth of agents in this process.
-type crowd struct {
+// agentGroup runs several agents, normally separate processes, in this process.
+type agentGroup struct {
 	options  Options
 	entries  []netip.AddrPort
 	upstream *httptest.Server
@@ -56,8 +56,8 @@
 	wg       sync.WaitGroup
 }
 
-// grow starts agents until there are n.
-func (c *crowd) grow(ctx context.Context, n int) error {
+// growTo starts agents until n are running.
+func (c *agentGroup) growTo(ctx context.Context, n int) error {
 	for len(c.agents) < n {
 		i := len(c.agents)
 		a, err := agent.New(agent.Settings{
@@ -85,15 +85,15 @@
 	return invoker.Announcement{
 		Address:     netip.MustParseAddrPort(upstream.Listener.Addr().String()),
 		Services:    []string{"quote"},
-		Slots:       slots,
-		Connections: slots * slots,
+		Slots:       slotsPerUpstream,
+		Connections: slotsPerUpstream * slotsPerUpstream,
 		MemoryBytes: 32 << 30,
-		TimeToLive:  submitter.Duration(longTTL),
+		TimeToLive:  submitter.Duration(announcementTTL),
 	}
 }
 
 // traffic sums the traffic of all agents.
-func (c *crowd) traffic() connector.Totals {
+func (c *agentGroup) traffic() connector.Totals {
 	var sum connector.Totals
 	for _, a := range c.agents {
 		sum = sum.Add(a.Traffic())
@@ -101,11 +101,11 @@
 	return sum
 }
 
-// MeasureAgents measures the entry with the given addresses for peers and for
-// administration by the number of idle agents that are connected to it.
+// MeasureAgents measures an entry, given by its addresses for peers and for
+// administration, by the number of idle agents that are connected to it.
 func MeasureAgents(ctx context.Context, entry, admin netip.AddrPort, o Options) ([]Slope, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	c := &crowd{options: o, entries: []netip.AddrPort{entry}, upstream: httptest.NewServer(emulator.NewUpstream(emulator.UpstreamOptions{Slots: slots}))}
+	c := &agentGroup{options: o, entries: []netip.AddrPort{entry}, upstream: httptest.NewServer(emulator.NewUpstream(emulator.UpstreamOptions{Slots: slotsPerUpstream}))}
 	defer c.upstream.Close()
 	defer c.wg.Wait()
 	defer cancel()
@@ -114,18 +114,18 @@
 		meter{"entry-idle-messages", "1/s"}, meter{"entry-idle-bytes", "B/s"},
 		meter{"entry-join-time", "us"}, meter{"entry-join-messages", "1"}, meter{"entry-join-bytes", "B"},
 		meter{"listing-time", "us"}, meter{"listing-bytes", "B"})
-	joining := 0.0 // joining is the processor time of all joins so far, in microseconds.
+	totalJoinTime := 0.0 // processor time of the entry for all joins so far, in microseconds
 	for _, n := range o.Sizes {
 		before, err := ReadUsage(o.PID)
 		if err != nil {
 			return nil, err
 		}
-		begun := time.Now()
-		if err := c.grow(ctx, n); err != nil {
+		started := time.Now()
+		if err := c.growTo(ctx, n); err != nil {
 			return nil, err
 		}
 		timer.Sleep(ctx, settleTime)
-		joined, took := c.traffic(), time.Since(begun)
+		joined, elapsed := c.traffic(), time.Since(started)
 		settled, err := ReadUsage(o.PID)
 		if err != nil {
 			return nil, err
@@ -138,26 +138,27 @@
 		if err != nil {
 			return nil, err
 		}
-		joining += (settled.ProcessorTime-before.ProcessorTime).Seconds()*1e6 - r.cores*took.Seconds()*1e6
+		totalJoinTime += (settled.ProcessorTime-before.ProcessorTime).Seconds()*1e6 - r.cores*elapsed.Seconds()*1e6
 		m.add(float64(n), r.cores, r.resident, r.messages, r.bytes,
-			joining, float64(joined.MessagesSent+joined.MessagesRead), float64(joined.BytesSent+joined.BytesRead),
-			l.time, l.bytes)
+			totalJoinTime, float64(joined.MessagesSent+joined.MessagesRead), float64(joined.BytesSent+joined.BytesRead),
+			l.cpuTime, l.bytes)
 	}
 	return m.slopes(), ctx.Err()
 }
 
-// MeasureEntries measures the agent process o.PID by the number of entries, which accept
-// peers at the given address and at the ports that follow it, and what entries
-// cost each other and the table. The agent must be connected to every entry.
+// MeasureEntries measures, by the number of entries, the agent process o.PID, and the
+// traffic of entries with each other and with the table. It starts entries that accept
+// peers at the given address and at the following ports; the agent must connect to
+// every one of them.
 func MeasureEntries(ctx context.Context, first netip.AddrPort, o Options) ([]Slope, error) {
-	f := &fleet{options: o, first: first, store: emulator.NewPlatform(1, emulator.Faults{})}
+	f := &entryGroup{options: o, first: first, store: emulator.NewPlatform(1, emulator.Faults{})}
 	if _, err := launcher.StoreConfig(f.store, "", nil); err != nil {
 		return nil, errors.Trace(err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	f.platform = httptest.NewUnstartedServer(f.store.Handler())
-	f.table = &countingListener{Listener: f.platform.Listener}
-	f.platform.Listener = f.table
+	f.platformListener = &countingListener{Listener: f.platform.Listener}
+	f.platform.Listener = f.platformListener
 	f.platform.Start()
 	defer f.platform.Close()
 	defer f.wg.Wait()
@@ -167,7 +168,7 @@
 		meter{"entries-messages", "1/s"}, meter{"entries-bytes", "B/s"},
 		meter{"store-reads", "1/s"}, meter{"store-writes", "1/s"}, meter{"store-bytes", "B/s"})
 	for _, n := range o.Sizes {
-		if err := f.grow(ctx, n); err != nil {
+		if err := f.growTo(ctx, n); err != nil {
 			return nil, err
 		}
 		timer.Sleep(ctx, 2*settleTime)
@@ -175,32 +176,33 @@
 			return nil, err
 		}
 		reads, writes := f.store.Counts()
-		bytes := f.table.bytes.Load()
+		bytes := f.platformListener.bytes.Load()
 		r, err := measure(ctx, o, f.traffic)
 		if err != nil {
 			return nil, err
 		}
 		readsAfter, writesAfter := f.store.Counts()
-		seconds := r.took.Seconds()
+		seconds := r.elapsed.Seconds()
 		m.add(float64(n), r.cores, r.resident, r.messages, r.bytes,
 			float64(readsAfter-reads)/seconds, float64(writesAfter-writes)/seconds,
-			float64(f.table.bytes.Load()-bytes)/seconds)
+			float64(f.platformListener.bytes.Load()-bytes)/seconds)
 	}
 	return m.slopes(), ctx.Err()
 }
 
-// fleet is a set of processes' worth of entries in this process.
-type fleet struct {
-	options  Options
-	first    netip.AddrPort
-	store    *emulator.Platform
-	platform *httptest.Server
-	table    *countingListener // table counts the bytes of calls of the platform.
-	entries  []*dispatcher.Entry
-	wg       sync.WaitGroup
+// entryGroup runs several entries, normally separate processes, in this process.
+type entryGroup struct {
+	options          Options
+	first            netip.AddrPort
+	store            *emulator.Platform
+	platform         *httptest.Server
+	platformListener *countingListener // counts the bytes of requests to the platform
+	entries          []*dispatcher.Entry
+	wg               sync.WaitGroup
 }
 
-func (f *fleet) grow(ctx context.Context, n int) error {
+// growTo starts entries until n are running.
+func (f *entryGroup) growTo(ctx context.Context, n int) error {
 	for len(f.entries) < n {
 		listen := netip.AddrPortFrom(f.first.Addr(), f.first.Port()+uint16(len(f.entries)))
 		e, err := dispatcher.New(dispatcher.Settings{
@@ -224,10 +226,11 @@
 	return nil
 }
 
-// checkConnected fails unless the agent and every entry are connected.
-func (f *fleet) checkConnected() error {
+// checkConnected returns an error unless every entry is connected to the agent and to
+// every other entry.
+func (f *entryGroup) checkConnected() error {
 	for i, e := range f.entries {
-		// The agent and every other entry.
+		// One connection to the agent and one to every other entry.
 		if want := len(f.entries); e.Peers() != want {
 			return &Error{Op: "entries", Kind: KindSystem, Err: errors.Errorf("entry %d has %d peers, not %d", i, e.Peers(), want)}
 		}
@@ -236,7 +239,7 @@
 }
 
 // traffic sums the traffic of all entries.
-func (f *fleet) traffic() connector.Totals {
+func (f *entryGroup) traffic() connector.Totals {
 	var sum connector.Totals
 	for _, e := range f.entries {
 		sum = sum.Add(e.Traffic())
--- a/internal/surveyor/error.go
+++ b/internal/surveyor/error.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind says what went wrong with a measurement.
+// Kind classifies the errors of a measurement.
 type Kind string
 
 // The kinds of errors of this package.
--- a/internal/surveyor/fit.go
+++ b/internal/surveyor/fit.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Fit is a line by least squares: value = Base + PerUnit * size.
+// Fit is the line fitted by least squares: value = Base + PerUnit * size.
 type Fit struct {
 	Base    float64 `json:"base"`
 	PerUnit float64 `json:"per-unit"`
-	// StandardError is the standard error of PerUnit. It is zero with fewer than three samples.
+	// StandardError is the standard error of PerUnit, zero with fewer than three samples.
 	StandardError float64 `json:"error"`
 }
 
@@ -23,18 +23,18 @@
 		meanSize += s.Size / n
 		meanValue += s.Value / n
 	}
-	var sizes, products float64
+	var sizeSquares, products float64
 	for _, s := range samples {
-		sizes += (s.Size - meanSize) * (s.Size - meanSize)
+		sizeSquares += (s.Size - meanSize) * (s.Size - meanSize)
 		products += (s.Size - meanSize) * (s.Value - meanValue)
 	}
-	if sizes == 0 {
+	if sizeSquares == 0 {
 		return Fit{Base: meanValue}
 	}
-	f := Fit{PerUnit: products / sizes}
+	f := Fit{PerUnit: products / sizeSquares}
 	f.Base = meanValue - f.PerUnit*meanSize
 	if n > 2 {
-		f.StandardError = math.Sqrt(residuals(samples, f) / (n - 2) / sizes)
+		f.StandardError = math.Sqrt(residuals(samples, f) / (n - 2) / sizeSquares)
 	}
 	return f
 }
--- a/internal/surveyor/messages.go
+++ b/internal/surveyor/messages.go
@@ -15,8 +15,8 @@
 	handoverCounts = []int{10, 50, 200, 500}
 )
 
-// messageSlopes measures the bytes and the processor time of messages by what
-// they carry.
+// messageSlopes measures the size and the time to encode and decode each kind of
+// message, by the number of tasks, records or jobs that it carries.
 func messageSlopes() []Slope {
 	out := codecSlopes("record-message", "record", fencedCounts, fencedFrame)
 	out = append(out, codecSlopes("start-message", "task", taskCounts, startFrame)...)
@@ -26,28 +26,28 @@
 	return append(out, codecSlopes("handover-message", "kept job of 58 tasks", handoverCounts, handoverFrame)...)
 }
 
-// codecSlopes measures a kind of message at several sizes: the slopes NAME-bytes
-// and NAME-time.
+// codecSlopes measures a kind of message at several sizes and returns the slopes
+// NAME-bytes and NAME-time.
 func codecSlopes(name, per string, sizes []int, build func(n int) *messenger.Frame) []Slope {
 	m := newMeters(per, meter{name + "-bytes", "B"}, meter{name + "-time", "us"})
 	for _, n := range sizes {
-		size, spent := codecCost(build(n))
-		m.add(float64(n), size, spent)
+		size, meanTime := codecCost(build(n))
+		m.add(float64(n), size, meanTime)
 	}
 	return m.slopes()
 }
 
-// codecCost returns the size of a frame in bytes and the time to encode and
-// decode it once.
-func codecCost(f *messenger.Frame) (size, spent float64) {
+// codecCost returns the size of a frame in bytes, and the mean time in microseconds to
+// encode and decode it.
+func codecCost(f *messenger.Frame) (size, meanTime float64) {
 	var buf bytes.Buffer
-	spent = microseconds(func() {
+	meanTime = meanMicroseconds(func() {
 		buf.Reset()
-		// A frame of this package always encodes; a fault would show as size 0.
+		// Encoding a frame of this package cannot fail; an error would show as size 0.
 		_ = messenger.Append(&buf, f)
 		_ = messenger.Decode(buf.Bytes(), func(*messenger.Frame) {})
 	})
-	return float64(buf.Len()), spent
+	return float64(buf.Len()), meanTime
 }
 
 func startFrame(tasks int) *messenger.Frame {
@@ -71,7 +71,7 @@
 	return &messenger.Frame{Results: []messenger.Result{m}}
 }
 
-// forwardFrame is a submission that one entry passes to another.
+// forwardFrame returns a submission that one entry forwards to another.
 func forwardFrame(tasks int) *messenger.Frame {
 	m := messenger.Forward{Ticket: 1, Submission: identifier.New(time.Now()), Service: "quote", Team: "team-001", Remaining: time.Hour}
 	for range tasks {
@@ -92,7 +92,7 @@
 	return a
 }
 
-// handoverFrame passes answered jobs of [jobTasks] tasks.
+// handoverFrame returns a handover of answered jobs of [jobTasks] tasks each.
 func handoverFrame(jobs int) *messenger.Frame {
 	m := &messenger.Handover{ID: "entry/1", Step: messenger.HandoverRecords}
 	for range jobs {
@@ -107,7 +107,8 @@
 	return &messenger.Frame{Handover: m}
 }
 
-// fencedFrame is an agent's answer to a fence, with one ended task a record.
+// fencedFrame returns an agent's answer to a fence, with one ended task in each
+// record.
 func fencedFrame(records int) *messenger.Frame {
 	m := messenger.Fenced{Epoch: 1}
 	for range records {
--- a/internal/surveyor/meters.go
+++ b/internal/surveyor/meters.go
@@ -8,28 +8,28 @@
 	"sardinelock.dev/sardinelock/internal/timer"
 )
 
-// meter names one cost.
+// meter is the name and the unit of a measured cost.
 type meter struct{ name, unit string }
 
-// meters gathers samples of several costs at the same sizes.
-type meters struct {
+// meterSet collects samples of several costs at the same sizes.
+type meterSet struct {
 	per     string
 	meters  []meter
-	samples [][]Sample // samples has one list a meter.
+	samples [][]Sample // one list for each meter
 }
 
-func newMeters(per string, list ...meter) *meters {
-	return &meters{per: per, meters: list, samples: make([][]Sample, len(list))}
+func newMeters(per string, list ...meter) *meterSet {
+	return &meterSet{per: per, meters: list, samples: make([][]Sample, len(list))}
 }
 
-// add takes one value a meter, in the order of the meters.
-func (m *meters) add(size float64, values ...float64) {
+// add adds one sample to each meter; values are in the order of the meters.
+func (m *meterSet) add(size float64, values ...float64) {
 	for i, v := range values {
 		m.samples[i] = append(m.samples[i], Sample{size, v})
 	}
 }
 
-func (m *meters) slopes() []Slope {
+func (m *meterSet) slopes() []Slope {
 	var out []Slope
 	for i, mt := range m.meters {
 		out = append(out, NewSlope(mt.name, mt.unit, m.per, m.samples[i]))
@@ -37,34 +37,36 @@
 	return out
 }
 
-// reading is what a process used while it was held at a size.
+// reading is the resource usage of a process, and the traffic of the system, during
+// one measurement.
 type reading struct {
-	took     time.Duration
+	elapsed  time.Duration
 	cores    float64
 	resident float64
-	messages float64 // messages is a rate a second, sent and read.
-	bytes    float64 // bytes is a rate a second, sent and read.
+	messages float64 // messages sent and received per second
+	bytes    float64 // bytes sent and received per second
 }
 
-// measure holds the system as it is and reads what was used.
+// measure measures the process and the traffic for o.MeasurementDuration, without
+// changing the system.
 func measure(ctx context.Context, o Options, traffic func() connector.Totals) (reading, error) {
 	before, err := ReadUsage(o.PID)
 	if err != nil {
 		return reading{}, err
 	}
-	from, begun := traffic(), time.Now()
+	trafficBefore, started := traffic(), time.Now()
 	timer.Sleep(ctx, o.MeasurementDuration)
-	to, took := traffic(), time.Since(begun)
+	trafficAfter, elapsed := traffic(), time.Since(started)
 	after, err := ReadUsage(o.PID)
 	if err != nil {
 		return reading{}, err
 	}
-	seconds := took.Seconds()
+	seconds := elapsed.Seconds()
 	return reading{
-		took:     took,
+		elapsed:  elapsed,
 		cores:    (after.ProcessorTime - before.ProcessorTime).Seconds() / seconds,
 		resident: float64(after.ResidentBytes),
-		messages: float64(to.MessagesSent+to.MessagesRead-from.MessagesSent-from.MessagesRead) / seconds,
-		bytes:    float64(to.BytesSent+to.BytesRead-from.BytesSent-from.BytesRead) / seconds,
+		messages: float64(trafficAfter.MessagesSent+trafficAfter.MessagesRead-trafficBefore.MessagesSent-trafficBefore.MessagesRead) / seconds,
+		bytes:    float64(trafficAfter.BytesSent+trafficAfter.BytesRead-trafficBefore.BytesSent-trafficBefore.BytesRead) / seconds,
 	}, nil
 }
--- a/internal/surveyor/process.go
+++ b/internal/surveyor/process.go
@@ -9,10 +9,11 @@
 	"github.com/juju/errors"
 )
 
-// The kernel counts processor time in ticks of this length towards user space.
+// clockTick is the unit in which the kernel reports processor time to user space.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what a process has used so far.
+// Usage is the processor time that a process has used so far, and its present resident
+// memory.
 type Usage struct {
 	ProcessorTime time.Duration
 	ResidentBytes int64
@@ -33,9 +34,9 @@
 	return parseUsage(stat, statm)
 }
 
-// parseUsage reads the files stat and statm of a process.
+// parseUsage parses the contents of the files stat and statm of a process.
 func parseUsage(stat, statm []byte) (Usage, error) {
-	// The command's name stands in brackets and may have blanks in it.
+	// The command's name is in parentheses and may contain spaces and parentheses.
 	end := bytes.LastIndexByte(stat, ')')
 	fields := bytes.Fields(stat[end+1:])
 	pages := bytes.Fields(statm)
--- a/internal/surveyor/state.go
+++ b/internal/surveyor/state.go
@@ -22,13 +22,13 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// The shape of the tasks whose state is measured.
+// Parameters of the measurements of state and messages.
 const (
-	payloadBytes = 100
-	jobTasks     = 58
-	stateWindow  = 5 * time.Minute
-	plenty       = 1 << 30
-	repeats      = 20
+	payloadBytes    = 100
+	jobTasks        = 58
+	retentionWindow = 5 * time.Minute
+	unlimited       = 1 << 30
+	repetitions     = 20
 )
 
 // The sizes at which state is measured.
@@ -41,7 +41,8 @@
 	memberCounts    = []int{11, 110, 300, 900}
 )
 
-// MeasureState measures the slopes that need no connections.
+// MeasureState measures all slopes that need no connections: those of records, jobs,
+// messages, the client library and the table.
 func MeasureState() ([]Slope, error) {
 	var out []Slope
 	out = append(out, recordSlopes()...)
@@ -58,12 +59,13 @@
 	return slices.Concat(out, client, tables), nil
 }
 
-// heapOf returns the growth of the heap that make leaves behind.
-func heapOf(build func() any) float64 {
+// heapGrowth returns the number of bytes by which the live heap grows when build is
+// called and its result retained.
+func heapGrowth(build func() any) float64 {
 	before := liveHeap()
-	kept := build()
+	result := build()
 	after := liveHeap()
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(result)
 	return float64(after) - float64(before)
 }
 
@@ -75,35 +77,37 @@
 	return m.HeapAlloc
 }
 
-// recordSlopes measures the records of an agent's guard and the time of its tick.
+// recordSlopes measures the memory of records in an agent's guard, and the time of a
+// tick of the guard.
 func recordSlopes() []Slope {
-	var bytesOf, tickOf []Sample
+	var heapSamples, tickSamples []Sample
 	for _, n := range recordCounts {
 		var g *guard.Guard
 		now := time.Now()
-		size := heapOf(func() any {
+		size := heapGrowth(func() any {
 			g = guardWithRecords(now, n)
 			return g
 		})
-		bytesOf = append(bytesOf, Sample{float64(n), size})
-		tickOf = append(tickOf, Sample{float64(n), microseconds(func() { g.Tick(now.Add(time.Second)) })})
+		heapSamples = append(heapSamples, Sample{float64(n), size})
+		tickSamples = append(tickSamples, Sample{float64(n), meanMicroseconds(func() { g.Tick(now.Add(time.Second)) })})
 	}
 	return []Slope{
-		NewSlope("agent-record-bytes", "B", "record", bytesOf),
-		NewSlope("agent-record-tick", "us", "record", tickOf),
+		NewSlope("agent-record-bytes", "B", "record", heapSamples),
+		NewSlope("agent-record-tick", "us", "record", tickSamples),
 	}
 }
 
-// guardWithRecords returns a guard that ran one task of each of n submissions.
+// guardWithRecords returns a guard with n records: one ended task of each of n
+// submissions.
 func guardWithRecords(now time.Time, n int) *guard.Guard {
 	const entry = "entry"
-	g := guard.New(now, guard.Limits{Window: stateWindow, MaxRecordBytes: plenty, MaxWaiting: plenty})
+	g := guard.New(now, guard.Limits{Window: retentionWindow, MaxRecordBytes: unlimited, MaxWaiting: unlimited})
 	g.EntryUp(now, entry)
 	admitAll(now, g, entry)
 	g.Announce(now, invoker.Announcement{
 		Address:    netip.MustParseAddrPort("127.0.0.1:1"),
 		Services:   []string{"quote"},
-		Slots:      plenty,
+		Slots:      unlimited,
 		TimeToLive: submitter.Duration(time.Hour),
 	})
 	for range n {
@@ -123,22 +127,23 @@
 	return g
 }
 
-// jobSlopes measures the answered jobs that an entry keeps, and the time of its tick.
+// jobSlopes measures the memory of answered jobs that an entry keeps, and the time of
+// a tick of their owner.
 func jobSlopes() []Slope {
-	var bytesOf, tickOf []Sample
+	var heapSamples, tickSamples []Sample
 	for _, n := range jobCounts {
 		var o *owner.Owner
 		now := time.Now()
-		size := heapOf(func() any {
+		size := heapGrowth(func() any {
 			o = ownerWithJobs(now, n)
 			return o
 		})
-		bytesOf = append(bytesOf, Sample{float64(n * jobTasks), size})
-		tickOf = append(tickOf, Sample{float64(n), microseconds(func() { o.Tick(now.Add(time.Second)) })})
+		heapSamples = append(heapSamples, Sample{float64(n * jobTasks), size})
+		tickSamples = append(tickSamples, Sample{float64(n), meanMicroseconds(func() { o.Tick(now.Add(time.Second)) })})
 	}
 	return []Slope{
-		NewSlope("entry-kept-task-bytes", "B", "kept task", bytesOf),
-		NewSlope("entry-job-tick", "us", "kept job", tickOf),
+		NewSlope("entry-kept-task-bytes", "B", "kept task", heapSamples),
+		NewSlope("entry-job-tick", "us", "kept job", tickSamples),
 	}
 }
 
@@ -146,10 +151,10 @@
 func ownerWithJobs(now time.Time, n int) *owner.Owner {
 	const agent = "agent"
 	o := owner.New(owner.Limits{
-		Window:           stateWindow,
+		Window:           retentionWindow,
 		MaxClockSkew:     time.Minute,
-		MaxRecordBytes:   plenty,
-		MaxAnswerBytes:   plenty,
+		MaxRecordBytes:   unlimited,
+		MaxAnswerBytes:   unlimited,
 		AgentLossTimeout: time.Second,
 		MaxReschedules:   1,
 		AbandonGrace:     time.Minute,
@@ -176,7 +181,8 @@
 	return o
 }
 
-// tableSlopes measures what is read from the table by its rows.
+// tableSlopes measures the size of rows of the table by the number of partitions,
+// agents and teams, and the time to parse a configuration.
 func tableSlopes() ([]Slope, error) {
 	var rowBytes, rosterBytes, configBytes, parseTime []Sample
 	for _, n := range partitionCounts {
@@ -206,7 +212,7 @@
 			return nil, err
 		}
 		configBytes = append(configBytes, Sample{float64(n), float64(len(text))})
-		parseTime = append(parseTime, Sample{float64(n), microseconds(func() {
+		parseTime = append(parseTime, Sample{float64(n), meanMicroseconds(func() {
 			_, _ = configurer.Parse("base", text)
 		})})
 	}
@@ -218,7 +224,8 @@
 	}, nil
 }
 
-// rosterOf returns a roster of n agents with names as processes choose them.
+// rosterOf returns a roster of n agents whose names have the same form as those that
+// processes generate.
 func rosterOf(n int) registrar.Roster {
 	r := registrar.Roster{Version: uint64(n)}
 	for i := range n {
@@ -228,7 +235,7 @@
 	return r
 }
 
-// baseWithTeams returns a base file with one service and n teams.
+// baseWithTeams returns a base configuration with one service and n teams.
 func baseWithTeams(n int) []byte {
 	var b strings.Builder
 	b.WriteString("services:\n  - name: quote\n    path: /quote\n    timeout: 30s\n    default-run-time: 200ms\n" +
@@ -240,18 +247,18 @@
 	return []byte(b.String())
 }
 
-// microseconds returns the mean time of a call in microseconds.
-func microseconds(call func()) float64 {
-	begun := time.Now()
-	for range repeats {
+// meanMicroseconds returns the mean duration of a call in microseconds.
+func meanMicroseconds(call func()) float64 {
+	started := time.Now()
+	for range repetitions {
 		call()
 	}
-	return float64(time.Since(begun).Nanoseconds()) / repeats / 1e3
+	return float64(time.Since(started).Nanoseconds()) / repetitions / 1e3
 }
 
 func payload() []byte { return bytes.Repeat([]byte{'1'}, payloadBytes) }
 
-// admitAll makes a guard accept starts of every partition from the entry.
+// admitAll makes a guard accept starts of all partitions from the entry.
 func admitAll(now time.Time, g *guard.Guard, entry messenger.Peer) {
 	f := &messenger.Fence{}
 	epochs := make([]uint64, identifier.Partitions)
--- a/internal/surveyor/surveyor.go
+++ b/internal/surveyor/surveyor.go
@@ -1,11 +1,11 @@
-// Package surveyor measures what each part of the system costs as its
-// surroundings grow, and works out from that what a given size needs.
+// Package surveyor measures how the cost of each part of the system grows with the
+// size of the deployment, and computes the capacity that a given size needs.
 //
-// A [Slope] is a line through measurements of one cost at several sizes: how many
-// bytes a record takes, how many messages an agent adds. A [Size] describes a
-// deployment. The capacity of a role is a sum of slopes, each times a number of
-// the size. Slopes come from real connections and real state; nothing is derived
-// from the source.
+// A [Slope] is a line fitted to measurements of one cost at several sizes, such as the
+// bytes that a record takes or the messages that an agent adds. A [Size] describes a
+// deployment. Each figure of a role is computed from slopes and the numbers of the
+// size. Slopes are measured on real connections and real state; none is derived from
+// the source code.
 package surveyor
 
 import (
@@ -15,30 +15,30 @@
 	"github.com/juju/errors"
 )
 
-// Sample is one measurement.
+// Sample is one measurement of a cost.
 type Sample struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// Slope is a cost that was measured at several sizes.
+// Slope is a cost measured at several sizes.
 type Slope struct {
-	// Name is the key under which capacities find the slope; it is in kebab case.
+	// Name is the key by which [Capacity] finds the slope, in kebab case.
 	Name string `json:"name"`
-	// Unit is the unit of the values, Per what the sizes count.
+	// Unit is the unit of the values. Per is what the sizes count.
 	Unit    string   `json:"unit"`
 	Per     string   `json:"per"`
 	Samples []Sample `json:"samples"`
 	Fit     Fit      `json:"fit"`
 }
 
-// NewSlope fits a line to samples.
+// NewSlope returns a slope with a line fitted to the samples.
 func NewSlope(name, unit, per string, samples []Sample) Slope {
 	return Slope{Name: name, Unit: unit, Per: per, Samples: samples, Fit: fitLine(samples)}
 }
 
-// ReadSlopes reads slopes that were written as JSON, one after the other. A later
-// slope replaces an earlier one of the same name.
+// ReadSlopes decodes a sequence of slopes in JSON. A later slope replaces an earlier
+// one of the same name.
 func ReadSlopes(r io.Reader) ([]Slope, error) {
 	var out []Slope
 	dec := json.NewDecoder(r)
--- a/internal/surveyor/surveyor_test.go
+++ b/internal/surveyor/surveyor_test.go
@@ -9,8 +9,9 @@
 	"sardinelock.dev/sardinelock/internal/scripter"
 )
 
-// TestScripts reads verbs "sample size=N value=N", "fit", and
-// "usage stat=FIELDS statm=FIELDS", where a comma stands for a blank.
+// TestScripts runs scripts of "sample size=N value=N", which adds a sample, "fit", which
+// prints the line fitted to the samples, and "usage stat=FIELDS statm=FIELDS", which
+// parses the files of a process; commas replace the spaces between fields.
 func TestScripts(t *testing.T) {
 	scripter.Run(t, "testdata/*.txtar", func(t *testing.T, lines []scripter.Line) string {
 		var out strings.Builder
@@ -24,7 +25,7 @@
 				fmt.Fprintf(&out, "base %.4f slope %.4f error %.4f at-100 %.4f\n", f.Base, f.PerUnit, f.StandardError, f.At(100))
 				samples = nil
 			case "usage":
-				u, err := parseUsage(blanks(l.Arg("stat")), blanks(l.Arg("statm")))
+				u, err := parseUsage(commasToSpaces(l.Arg("stat")), commasToSpaces(l.Arg("statm")))
 				fmt.Fprintln(&out, u.ProcessorTime, u.ResidentBytes > 0, err)
 			default:
 				t.Fatal("unknown verb", l)
@@ -43,4 +44,4 @@
 	return v
 }
 
-func blanks(text string) []byte { return []byte(strings.ReplaceAll(text, ",", " ")) }
+func commasToSpaces(text string) []byte { return []byte(strings.ReplaceAll(text, ",", " ")) }
--- a/internal/surveyor/tasks.go
+++ b/internal/surveyor/tasks.go
@@ -16,23 +16,23 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// The load under which the cost of jobs is measured.
+// Parameters of the load under which the cost of jobs is measured.
 const (
-	loadAgents    = 11
-	loadCallers   = 8
-	warmUpJobs    = 4
-	taskTimeSpent = "1ms"
+	loadAgents  = 11
+	loadCallers = 8
+	warmUpJobs  = 4
+	taskRunTime = "1ms"
 )
 
-// MeasureTasks measures the entry process o.PID by the tasks of a job: processor time,
-// messages and bytes of one job. The sizes are tasks of a job.
+// MeasureTasks measures the processor time, messages and bytes of one job at the entry
+// process o.PID, by the number of tasks of the job, which o.Sizes lists.
 func MeasureTasks(ctx context.Context, entry, caller netip.AddrPort, o Options) ([]Slope, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	c := &crowd{options: o, entries: []netip.AddrPort{entry}, upstream: httptest.NewServer(emulator.NewUpstream(emulator.UpstreamOptions{Slots: slots}))}
+	c := &agentGroup{options: o, entries: []netip.AddrPort{entry}, upstream: httptest.NewServer(emulator.NewUpstream(emulator.UpstreamOptions{Slots: slotsPerUpstream}))}
 	defer c.upstream.Close()
 	defer c.wg.Wait()
 	defer cancel()
-	if err := c.grow(ctx, loadAgents); err != nil {
+	if err := c.growTo(ctx, loadAgents); err != nil {
 		return nil, err
 	}
 	timer.Sleep(ctx, settleTime)
@@ -41,7 +41,7 @@
 		meter{"job-messages", "1"}, meter{"job-bytes", "B"})
 	for _, n := range o.Sizes {
 		jobs := 0
-		load := func(ctx context.Context) error {
+		runLoad := func(ctx context.Context) error {
 			var err error
 			jobs, err = submitJobs(ctx, caller, n)
 			return err
@@ -49,25 +49,25 @@
 		if err := awaitComplete(ctx, caller, n); err != nil {
 			return nil, err
 		}
-		loaded, stop := context.WithTimeout(ctx, o.MeasurementDuration)
-		failed := make(chan error, 1)
-		go func() { failed <- load(loaded) }()
+		loadCtx, stop := context.WithTimeout(ctx, o.MeasurementDuration)
+		loadDone := make(chan error, 1)
+		go func() { loadDone <- runLoad(loadCtx) }()
 		r, err := measure(ctx, o, c.traffic)
 		stop()
 		if err == nil {
-			err = <-failed
+			err = <-loadDone
 		}
 		if err != nil {
 			return nil, err
 		}
-		perJob := r.took.Seconds() / float64(jobs)
+		perJob := r.elapsed.Seconds() / float64(jobs)
 		m.add(float64(n), r.cores*perJob*1e6, r.resident, r.messages*perJob, r.bytes*perJob)
 	}
 	return m.slopes(), nil
 }
 
-// awaitComplete submits jobs until some have completed, so that the system is
-// ready and warm.
+// awaitComplete submits jobs until warmUpJobs have completed, so that the system is
+// ready and warmed up.
 func awaitComplete(ctx context.Context, caller netip.AddrPort, tasks int) error {
 	client := submitter.New(submitter.Options{Entries: []netip.AddrPort{caller}})
 	deadline := time.Now().Add(readyTimeout)
@@ -90,10 +90,10 @@
 // returns how many completed.
 func submitJobs(ctx context.Context, caller netip.AddrPort, tasks int) (int, error) {
 	var (
-		wg    sync.WaitGroup
-		mu    sync.Mutex
-		done  int
-		fault error
+		wg        sync.WaitGroup
+		mu        sync.Mutex
+		done      int
+		submitErr error
 	)
 	transport := &http.Transport{MaxIdleConnsPerHost: loadCallers}
 	defer transport.CloseIdleConnections()
@@ -101,7 +101,8 @@
 	for range loadCallers {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				// A job that has begun is awaited, so that it counts whole.
+				// A submitted job is awaited even after the context ends, so that every
+				// job counts in full.
 				a, err := client.Submit(context.WithoutCancel(ctx), "quote", "", jobOf(tasks))
 				if err == nil && a.Outcome != submitter.OutcomeComplete {
 					err = errors.Errorf("%s: %s: %s", a.Outcome, a.Reason, a.Detail)
@@ -110,7 +111,7 @@
 				if err == nil {
 					done++
 				} else {
-					fault = &Error{Op: "load", Kind: KindSystem, Err: err}
+					submitErr = &Error{Op: "load", Kind: KindSystem, Err: err}
 				}
 				mu.Unlock()
 				if err != nil {
@@ -120,17 +121,17 @@
 		})
 	}
 	wg.Wait()
-	if fault == nil && done == 0 {
-		fault = &Error{Op: "load", Kind: KindSystem, Err: errors.New("no job completed")}
+	if submitErr == nil && done == 0 {
+		submitErr = &Error{Op: "load", Kind: KindSystem, Err: errors.New("no job completed")}
 	}
-	return done, fault
+	return done, submitErr
 }
 
 func jobOf(tasks int) submitter.Job {
 	job := submitter.Job{Tasks: make([]submitter.Task, tasks)}
 	for i := range job.Tasks {
 		job.Tasks[i] = submitter.Task{
-			Payload:     json.RawMessage(`{"run-time":"` + taskTimeSpent + `"}`),
+			Payload:     json.RawMessage(`{"run-time":"` + taskRunTime + `"}`),
 			RunTime:     submitter.Duration(time.Millisecond),
 			MemoryBytes: 1 << 20,
 		}
--- a/internal/surveyor/traffic.go
+++ b/internal/surveyor/traffic.go
@@ -5,11 +5,11 @@
 	"sync/atomic"
 )
 
-// countingListener counts the bytes of all connections that it accepts, with
-// what HTTP adds to the bodies.
+// countingListener counts the bytes of all connections that it accepts. They include
+// HTTP headers and framing.
 type countingListener struct {
 	net.Listener
-	bytes atomic.Uint64 // bytes counts both directions.
+	bytes atomic.Uint64 // sent and received
 }
 
 // Accept implements net.Listener.
@@ -21,7 +21,7 @@
 	return &countingConn{Conn: conn, bytes: &l.bytes}, nil
 }
 
-// countingConn adds what is read and written to a count.
+// countingConn adds the number of bytes read and written to a counter.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Uint64
