--- a/pkg/submitter/client.go
+++ b/pkg/submitter/client.go
@@ -19,28 +19,29 @@
 	token   string
 	tls     bool
 	http    *http.Client
-	// Sleep is the seam for the pause between tries; tests replace it.
+	// Sleep waits between attempts, until the context ends at the latest. Tests
+	// replace it.
 	Sleep func(ctx context.Context, d time.Duration)
 }
 
 // Options describe a client.
 type Options struct {
-	// Entries are the callers' addresses of entries; they are tried in order.
+	// Entries are the addresses at which entries accept callers, tried in order.
 	Entries []netip.AddrPort
-	// Team names the caller's team where the entries ask for no token.
+	// Team is the name of the caller's team, for entries that require no token.
 	Team string
-	// Token is the team's bearer token; empty sends none.
+	// Token is the team's bearer token; if empty, none is sent.
 	Token string
-	// TLS says that the entries serve with TLS. HTTP brings the authorities then.
+	// TLS selects HTTPS. The certificate authorities are then those of HTTP.
 	TLS bool
-	// HTTP is the client to use; nil means one of the package's own.
+	// HTTP is the HTTP client to use; if nil, a new one is created.
 	HTTP *http.Client
 }
 
 const (
-	maxTries   = 5
-	maxIDs     = 10 // maxIDs bounds the ids that one job is submitted under.
-	retryPause = 50 * time.Millisecond
+	maxAttempts      = 5
+	maxSubmissionIDs = 10 // submission ids for one job
+	retryBackoff     = 50 * time.Millisecond
 )
 
 // New returns a client. Options.Entries must not be empty.
@@ -52,22 +53,23 @@
 	return c
 }
 
-// NewSubmissionID returns a submission id made now for a job with the request
-// key. An empty key allows any id.
+// NewSubmissionID returns a new submission id for a job with the given request key,
+// which is empty if the job has none.
 func NewSubmissionID(key string) string {
 	id, ok := identifier.NewForKey(time.Now(), key)
 	if !ok {
-		// The entry then refuses the id; it never runs under another key's owner.
+		// The id does not match the key. The entry rejects it, so that the job cannot
+		// run at an owner that does not know other submissions of the key.
 		id = identifier.New(time.Now())
 	}
 	return id.String()
 }
 
-// Submit submits a job and waits for its answer. After a lost connection the same
-// id is submitted again, through the next entry; if no entry answers in the end,
-// the outcome is unknown. An empty id makes one, and makes another where an owner
-// was replaced and the job did not run. An error means that the request was no
-// valid submission; it is of type [*Error].
+// Submit submits a job and waits for its answer. After a lost connection it submits the
+// same id again, through the next entry; if all attempts fail, the outcome is unknown.
+// If id is empty, Submit generates one, and a new one whenever the job did not run
+// because its owner was replaced. An error is of type [*Error] and means that the
+// request was not a valid submission.
 func (c *Client) Submit(ctx context.Context, service, id string, job Job) (Answer, error) {
 	body, err := json.Marshal(job)
 	if err != nil {
@@ -76,23 +78,23 @@
 	if id != "" {
 		return c.submit(ctx, service, id, body)
 	}
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		answer, err := c.submit(ctx, service, NewSubmissionID(job.RequestKey), body)
 		replaced := answer.Outcome == OutcomeNotRun && answer.Reason == ReasonOwnerChanged
-		if err != nil || !replaced || try == maxIDs || ctx.Err() != nil {
+		if err != nil || !replaced || attempt == maxSubmissionIDs || ctx.Err() != nil {
 			return answer, err
 		}
 		c.Sleep(ctx, time.Duration(answer.RetryAfter))
 	}
 }
 
-// submit submits a job under one id until an entry answers.
+// submit submits a job under one id until an entry answers or all attempts fail.
 func (c *Client) submit(ctx context.Context, service, id string, body []byte) (Answer, error) {
-	for try := range maxTries {
-		if try > 0 {
-			c.Sleep(ctx, retryPause<<(try-1))
+	for attempt := range maxAttempts {
+		if attempt > 0 {
+			c.Sleep(ctx, retryBackoff<<(attempt-1))
 		}
-		entry := c.entries[try%len(c.entries)]
+		entry := c.entries[attempt%len(c.entries)]
 		answer, err := c.submitOnce(ctx, entry, service, id, body)
 		if KindOf(err) != KindUnreachable {
 			return answer, err
@@ -101,11 +103,11 @@
 			break
 		}
 	}
-	return unanswered(id), nil
+	return unknownAnswer(id), nil
 }
 
-// unanswered is what the client can say when no entry answered.
-func unanswered(id string) Answer {
+// unknownAnswer returns the answer to a submission that no entry answered.
+func unknownAnswer(id string) Answer {
 	return Answer{
 		SubmissionID: id,
 		Outcome:      OutcomeUnknown,
@@ -116,7 +118,7 @@
 
 func (c *Client) submitOnce(ctx context.Context, entry netip.AddrPort, service, id string, body []byte) (Answer, error) {
 	const op = "submit"
-	url := c.url(entry) + "/v1/services/" + service + "/jobs"
+	url := c.baseURL(entry) + "/v1/services/" + service + "/jobs"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return Answer{}, &Error{Op: op, Kind: KindInvalid, Err: err}
@@ -130,10 +132,10 @@
 	return decodeAnswer(op, resp, text)
 }
 
-// exchange sends a request and returns the response with its whole body. An error
-// is of kind [KindUnreachable]: the request may have had its effect.
+// exchange sends a request and returns the response and its complete body. An error is
+// of kind [KindUnreachable]; the request may have taken effect nevertheless.
 func (c *Client) exchange(op string, req *http.Request) (*http.Response, []byte, error) {
-	c.identify(req)
+	c.setCredentials(req)
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return nil, nil, &Error{Op: op, Kind: KindUnreachable, Err: err}
@@ -146,8 +148,8 @@
 	return resp, text, nil
 }
 
-// identify says who the caller is.
-func (c *Client) identify(req *http.Request) {
+// setCredentials sets the headers that identify the caller's team.
+func (c *Client) setCredentials(req *http.Request) {
 	if c.team != "" {
 		req.Header.Set(HeaderTeam, c.team)
 	}
@@ -156,8 +158,8 @@
 	}
 }
 
-// url returns the base of an entry's URLs.
-func (c *Client) url(entry netip.AddrPort) string {
+// baseURL returns the base of an entry's URLs.
+func (c *Client) baseURL(entry netip.AddrPort) string {
 	if c.tls {
 		return "https://" + entry.String()
 	}
--- a/pkg/submitter/client_test.go
+++ b/pkg/submitter/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// reply is what a fake entry does with one request.
+// reply answers one request to a fake entry.
 type reply func(w http.ResponseWriter, id string)
 
 func answered(outcome Outcome, reason Reason) reply {
@@ -24,15 +24,15 @@
 	}
 }
 
-func cut(http.ResponseWriter, string) { panic(http.ErrAbortHandler) }
+func abortConnection(http.ResponseWriter, string) { panic(http.ErrAbortHandler) }
 
-// idLog has the ids that a fake entry was sent.
+// idLog records the submission ids that a fake entry received.
 type idLog struct {
 	mu  sync.Mutex
 	ids []string
 }
 
-// add records an id and returns how many came before it.
+// add records an id and returns the number of ids recorded before it.
 func (l *idLog) add(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +46,8 @@
 	return slices.Clone(l.ids)
 }
 
-// fakeEntry gives the replies in order and records the ids that it was sent.
+// fakeEntry starts a fake entry and returns a client of it. The entry gives the replies
+// in order, repeats the last one, and logs the ids that it receives.
 func fakeEntry(t *testing.T, replies ...reply) (*Client, *idLog) {
 	t.Helper()
 	log := new(idLog)
@@ -60,9 +61,10 @@
 	return c, log
 }
 
-// A lost connection is followed by the same id.
+// TestSubmitAgainAfterLostConnection checks that the client submits the same id again
+// after a lost connection. Another id could run the job twice.
 func TestSubmitAgainAfterLostConnection(t *testing.T) {
-	c, ids := fakeEntry(t, cut, cut, answered(OutcomeComplete, ""))
+	c, ids := fakeEntry(t, abortConnection, abortConnection, answered(OutcomeComplete, ""))
 	answer, err := c.Submit(t.Context(), "quote", "", Job{})
 	if err != nil || answer.Outcome != OutcomeComplete {
 		t.Fatalf("got %+v, %v", answer, err)
@@ -73,20 +75,20 @@
 	}
 }
 
-// Without any answer the client claims nothing.
+// TestNoAnswerIsUnknown checks that the outcome is unknown if no attempt is answered.
 func TestNoAnswerIsUnknown(t *testing.T) {
-	c, ids := fakeEntry(t, cut)
+	c, ids := fakeEntry(t, abortConnection)
 	answer, err := c.Submit(t.Context(), "quote", "", Job{})
 	if err != nil || answer.Outcome != OutcomeUnknown || answer.Reason != ReasonConnectionLost {
 		t.Errorf("got %+v, %v, want unknown", answer, err)
 	}
-	if len(ids.all()) != maxTries {
-		t.Errorf("%d tries, want %d", len(ids.all()), maxTries)
+	if len(ids.all()) != maxAttempts {
+		t.Errorf("%d attempts, want %d", len(ids.all()), maxAttempts)
 	}
 }
 
-// A job that did not run because its owner was replaced gets a new id, unless the
-// caller chose the id.
+// TestNewIDAfterReplacedOwner checks that a job that did not run because its owner was
+// replaced is submitted under a new id, unless the caller chose the id.
 func TestNewIDAfterReplacedOwner(t *testing.T) {
 	c, ids := fakeEntry(t, answered(OutcomeNotRun, ReasonOwnerChanged), answered(OutcomeComplete, ""))
 	answer, err := c.Submit(t.Context(), "quote", "", Job{RequestKey: "plate-setup-7"})
--- a/pkg/submitter/error.go
+++ b/pkg/submitter/error.go
@@ -6,16 +6,16 @@
 	"github.com/juju/errors"
 )
 
-// Kind says what went wrong with a call.
+// Kind classifies the errors of a call.
 type Kind string
 
 // The kinds of errors of this package.
 const (
-	// KindInvalid means that the request cannot be made.
+	// KindInvalid: the request cannot be encoded or sent.
 	KindInvalid Kind = "invalid"
-	// KindRejected means that an entry found the request no valid submission.
+	// KindRejected: an entry rejected the request as invalid.
 	KindRejected Kind = "rejected"
-	// KindUnreachable means that no entry gave an answer that can be read.
+	// KindUnreachable: no entry gave an answer that can be decoded.
 	KindUnreachable Kind = "unreachable"
 )
 
@@ -23,7 +23,7 @@
 type Error struct {
 	Op      string   // Op is the operation that failed.
 	Kind    Kind     // Kind is one of the Kind constants.
-	Problem *Problem // Problem is set exactly if the kind is rejected.
+	Problem *Problem // Problem is set if and only if the kind is rejected.
 	Err     error    // Err is the cause; nil if the kind is rejected.
 }
 
--- a/pkg/submitter/problem.go
+++ b/pkg/submitter/problem.go
@@ -1,15 +1,15 @@
 package submitter
 
-// The headers of the callers' API.
+// The headers of the API for callers.
 const (
-	// HeaderSubmissionID carries the submission id that the caller chose.
+	// HeaderSubmissionID is the submission id, which the caller chooses.
 	HeaderSubmissionID = "Sardinelock-Submission-Id"
-	// HeaderTeam names the team where no token does.
+	// HeaderTeam is the name of the team, for entries that require no token.
 	HeaderTeam = "Sardinelock-Team"
 )
 
-// Problem is the body of an answer to a request that is no valid submission, in
-// the form of RFC 9457. No task of such a request has started.
+// Problem is the body of the response to a request that is not a valid submission, in
+// the format of RFC 9457. No task of such a request has started.
 type Problem struct {
 	Status int    `json:"status"`
 	Title  string `json:"title"`
