--- a/internal/scripter/argument.go
+++ b/internal/scripter/argument.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Duration reads an argument of a script. The test ends if it is none.
+// Duration parses a duration in an argument of a script. If it is invalid, the test
+// fails and stops.
 func Duration(t testing.TB, text string) time.Duration {
 	t.Helper()
 	d, err := time.ParseDuration(text)
@@ -16,7 +17,8 @@
 	return d
 }
 
-// Number reads an argument of a script. The test ends if it is none.
+// Number parses an integer in an argument of a script. If it is invalid, the test fails
+// and stops.
 func Number(t testing.TB, text string) int64 {
 	t.Helper()
 	n, err := strconv.ParseInt(text, 10, 64)
--- a/internal/scripter/scripter.go
+++ b/internal/scripter/scripter.go
@@ -1,8 +1,9 @@
 // Package scripter runs tests whose scripts and expected output are data files.
 //
-// A test case is a txtar archive with a file "script", one event a line, and a
-// file "want" with the output that the script must give. With the environment
-// variable SARDINELOCK_UPDATE=1 the "want" parts are written anew.
+// A test case is a txtar archive with the files "script", which has one event on each
+// line, and "want", which has the expected output. If the environment variable
+// SARDINELOCK_UPDATE is set, for example to 1, the "want" files are updated with the
+// actual output.
 package scripter
 
 import (
@@ -20,15 +21,15 @@
 
 const updateVariable = "SARDINELOCK_UPDATE"
 
-// Line is one line of a script: a verb with arguments.
+// Line is one line of a script: a verb and its arguments.
 type Line struct {
-	Number int // Number counts from 1 within the script.
+	Number int // Number is the line number in the script, from 1.
 	Verb   string
 	Args   []string
 }
 
-// Run runs every archive that matches the pattern. The function gets the lines
-// of one script, without blank ones and comments, and returns its output.
+// Run runs a subtest for every archive that matches the pattern. The function f takes
+// the lines of one script, without blank lines and comments, and returns its output.
 func Run(t *testing.T, pattern string, f func(t *testing.T, lines []Line) string) {
 	t.Helper()
 	names, err := filepath.Glob(pattern)
@@ -42,14 +43,14 @@
 	}
 }
 
-// RunSeeds is like [Run] for scripts whose subjects draw random bits, such as for
-// ids. The output is that of the first seed, and must be the same with every other.
+// RunSeeds is like [Run] for tests that need random bits, for example for ids. It runs
+// every script with the given number of seeds and requires the same output for each.
 func RunSeeds(t *testing.T, pattern string, seeds uint16, f func(t *testing.T, lines []Line, random io.Reader) string) {
 	t.Helper()
 	Run(t, pattern, func(t *testing.T, lines []Line) string {
-		want := f(t, lines, randomOf(0))
+		want := f(t, lines, newRandom(0))
 		for seed := uint16(1); seed < seeds; seed++ {
-			if diff := cmp.Diff(want, f(t, lines, randomOf(seed))); diff != "" {
+			if diff := cmp.Diff(want, f(t, lines, newRandom(seed))); diff != "" {
 				t.Fatalf("seed %d (-seed 0 +got):\n%s", seed, diff)
 			}
 		}
@@ -57,7 +58,7 @@
 	})
 }
 
-func randomOf(seed uint16) io.Reader {
+func newRandom(seed uint16) io.Reader {
 	return rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)})
 }
 
@@ -67,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	script, want := part(archive, "script"), part(archive, "want")
+	script, want := findFile(archive, "script"), findFile(archive, "want")
 	if script == nil || want == nil {
 		t.Fatalf("%s needs the files script and want", name)
 	}
@@ -84,7 +85,7 @@
 	}
 }
 
-func part(a *txtar.Archive, name string) *txtar.File {
+func findFile(a *txtar.Archive, name string) *txtar.File {
 	for i := range a.Files {
 		if a.Files[i].Name == name {
 			return &a.Files[i]
@@ -115,7 +116,7 @@
 	return ""
 }
 
-// String returns the line as an error message would name it.
+// String returns the line in the form used in error messages.
 func (l Line) String() string {
 	return fmt.Sprintf("line %d: %s %s", l.Number, l.Verb, strings.Join(l.Args, " "))
 }
--- a/internal/seeder/seeder.go
+++ b/internal/seeder/seeder.go
@@ -1,11 +1,11 @@
-// Package seeder fixes the seed of a package's random tests, so that their verdict
-// is the same at every run.
+// Package seeder fixes the seed of a package's property tests, so that every run gives
+// the same result.
 //
-// A package with tests of pgregory.net/rapid has
+// A package whose tests use pgregory.net/rapid must declare
 //
 //	func TestMain(m *testing.M) { seeder.Main(m) }
 //
-// The test of this package looks for packages that have not.
+// The test of this package fails if one does not.
 package seeder
 
 import (
@@ -14,13 +14,13 @@
 	"testing"
 )
 
-// seed is the seed of all packages; chosen. The flag -rapid.seed sets another.
+// seed is the default seed of all packages. The flag -rapid.seed overrides it.
 const seed = "1"
 
-// Main runs the tests of a package from the fixed seed.
+// Main runs the tests of a package with the fixed seed and exits.
 func Main(m *testing.M) {
 	flag.Parse()
-	// Without a seed rapid takes one from the time.
+	// If the seed is 0, rapid derives one from the current time.
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		if err := f.Value.Set(seed); err != nil {
 			panic(err)
--- a/internal/seeder/seeder_test.go
+++ b/internal/seeder/seeder_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestEveryRandomTestIsSeeded looks for packages whose tests use rapid and do not
-// fix its seed.
+// TestEveryRandomTestIsSeeded checks that every package whose tests use rapid fixes its
+// seed.
 func TestEveryRandomTestIsSeeded(t *testing.T) {
 	random, seeded := make(map[string]bool), make(map[string]bool)
 	tree := os.DirFS("../..")
