--- a/cmd/sardinelock/cmd/torn_test.go
+++ b/cmd/sardinelock/cmd/abort_test.go
@@ -9,18 +9,19 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// An upstream that closes connections before or in the middle of its answers gets
-// each task once: what started is not sent again, and the answers say so.
-func TestTornUpstreamConnections(t *testing.T) {
+// TestAbortedUpstreamConnections runs an upstream that closes connections before or in
+// the middle of its answers. A task that has started must not be sent again, and the
+// outcomes must agree with the started tasks.
+func TestAbortedUpstreamConnections(t *testing.T) {
 	t.Parallel()
 	const jobs, tasks = 60, 2
 	f := startFleet(t, 1, 1)
 	f.upstreams[0].kill()
 	f.startUpstream(f.agentAddrs[0], "--tear-ratio", "0.2")
-	maker := identifier.Generator{Random: rand.NewChaCha8([32]byte{3})}
-	// The agent may still call the first upstream.
+	ids := identifier.Generator{Random: rand.NewChaCha8([32]byte{3})}
+	// The agent may still send tasks to the upstream that was killed.
 	for reached := 0; reached == 0; {
-		id := maker.New(time.Now()).String()
+		id := ids.New(time.Now()).String()
 		<-f.submitAsync(0, id, job(1, time.Millisecond, time.Second))
 		reached = len(f.starts(id))
 	}
@@ -28,7 +29,7 @@
 	counts := make(map[submitter.Outcome]int)
 	answers := make(map[string]submitter.Answer)
 	for range jobs {
-		id := maker.New(time.Now()).String()
+		id := ids.New(time.Now()).String()
 		answers[id] = <-f.submitAsync(0, id, job(tasks, time.Millisecond, 50*time.Second))
 	}
 	f.stopUpstreams()
@@ -36,7 +37,7 @@
 		counts[answer.Outcome]++
 		answers[id] = answer
 	}
-	// Only then has all that the upstream wrote been read.
+	// The output of the upstream has been read completely once it has exited.
 	f.upstreams[1].kill()
 	for id, answer := range answers {
 		f.checkOnce(id)
@@ -51,6 +52,6 @@
 	}
 	t.Logf("answers: %v", counts)
 	if counts[submitter.OutcomeComplete] == 0 || counts[submitter.OutcomeFailed] == 0 {
-		t.Error("not both whole and torn connections were seen")
+		t.Error("want both complete and failed jobs")
 	}
 }
--- a/cmd/sardinelock/cmd/admin.go
+++ b/cmd/sardinelock/cmd/admin.go
@@ -21,21 +21,21 @@
 }
 
 func (a *adminFlags) register(f *pflag.FlagSet, formats ...outputFormat) {
-	f.Var(addrsFlag{&a.addrs}, "admin", "administration addresses of entries; they are tried in order")
+	f.Var(addrsFlag{&a.addrs}, "admin", "administration addresses of entries, tried in order")
 	a.output.register(f, formats...)
 	a.clientFlags.register(f)
 }
 
-func (a *adminFlags) faults() []string {
+func (a *adminFlags) validate() []string {
 	if len(a.addrs) == 0 {
 		return []string{"--admin must be set"}
 	}
 	return nil
 }
 
-// client checks the settings and returns a client.
+// client validates the settings and returns a client.
 func (a *adminFlags) client() (*administrator.Client, error) {
-	if err := usageFaults(a.faults()); err != nil {
+	if err := usageErrors(a.validate()); err != nil {
 		return nil, err
 	}
 	token, err := a.token()
@@ -54,8 +54,8 @@
 	}), nil
 }
 
-// list gets a listing and prints it. Entries that did not answer are named on
-// standard error.
+// list fetches a listing and prints it. It names the entries that did not answer
+// on standard error.
 func list[T any](c *cobra.Command, a *adminFlags, path string, header []string, row func(T) []string) error {
 	client, err := a.client()
 	if err != nil {
@@ -89,10 +89,10 @@
 
 func (f *changeFlags) register(flags *pflag.FlagSet) {
 	f.adminFlags.register(flags)
-	flags.StringVar(&f.changeID, "change-id", "", "UUID that names the change, so that repeating it does nothing twice (default: a new one)")
+	flags.StringVar(&f.changeID, "change-id", "", "UUID of the change, which makes a retry idempotent (default: a new one)")
 }
 
-// id returns the id of the change, and makes one if none was given.
+// id returns the id of the change. It generates one if none was given.
 func (f *changeFlags) id() string {
 	if f.changeID == "" {
 		f.changeID = versioner.NewChangeID()
@@ -100,7 +100,7 @@
 	return f.changeID
 }
 
-// print prints changes that were made.
+// print prints the results of changes.
 func (f *changeFlags) print(c *cobra.Command, changes []administrator.Changed) error {
 	for i := range changes {
 		printSilent(c.ErrOrStderr(), changes[i].Silent)
--- a/cmd/sardinelock/cmd/admin_test.go
+++ b/cmd/sardinelock/cmd/admin_test.go
@@ -19,7 +19,7 @@
 )
 
 // TestAdminScripts runs the commands of operators and callers against a system
-// that the script's command "system" starts within the test.
+// that the script command "system" starts in the test process.
 func TestAdminScripts(t *testing.T) {
 	files := issuer.New(t).Issue(t.TempDir(), time.Now().Add(time.Hour))
 	testscript.Run(t, testscript.Params{
@@ -40,9 +40,13 @@
 	})
 }
 
-// startSystemScript starts a system: system entries=N agents=N [base=FILE] [tls]. It
-// sets ENTRY0, ADMIN0 and so on to the entries' addresses, and SARDINELOCK_ENTRY and
-// SARDINELOCK_ADMIN to those of the first.
+// startSystemScript implements the script command
+//
+//	system entries=N agents=N [base=FILE] [tls]
+//
+// It starts a system and sets ENTRY0, ADMIN0 and so on to the addresses of the entries,
+// SARDINELOCK_ENTRY and SARDINELOCK_ADMIN to the addresses of the first entry, and
+// SARDINELOCK_PLATFORM to the address of the platform.
 func startSystemScript(ts *testscript.TestScript, _ bool, args []string) {
 	o := launcher.Options{
 		Entries:     1,
@@ -89,7 +93,8 @@
 	ts.Setenv("SARDINELOCK_ADMIN", system.Entries[0].AdminAddr().String())
 }
 
-// replaceTokenHashes replaces each hash(TOKEN) in a file by the token's hash.
+// replaceTokenHashes implements the script command "tokenhash FILE". It replaces each
+// hash(TOKEN) in the file by the hash of the token.
 func replaceTokenHashes(ts *testscript.TestScript, _ bool, args []string) {
 	name := ts.MkAbs(args[0])
 	text, err := os.ReadFile(name)
@@ -102,12 +107,13 @@
 	ts.Check(os.WriteFile(name, []byte(strings.Join(parts, "")), 0o600))
 }
 
-// newID sets ID to a new submission id.
+// newID implements the script command "newid". It sets ID to a new submission id.
 func newID(ts *testscript.TestScript, _ bool, _ []string) {
 	ts.Setenv("ID", submitter.NewSubmissionID(""))
 }
 
-// waitFor runs a command until its output matches: waitfor PATTERN COMMAND...
+// waitFor implements the script command "waitfor PATTERN COMMAND...". It runs the
+// command repeatedly until its output matches.
 func waitFor(ts *testscript.TestScript, _ bool, args []string) {
 	pattern, err := regexp.Compile(args[0])
 	ts.Check(err)
--- a/cmd/sardinelock/cmd/agent.go
+++ b/cmd/sardinelock/cmd/agent.go
@@ -11,8 +11,8 @@
 
 func newAgentCommand() *cobra.Command {
 	var (
-		site   siteFlags
-		secure serverTLSFlags
+		site siteFlags
+		tls  serverTLSFlags
 	)
 	s := agent.Settings{
 		Listen:       netip.MustParseAddrPort("127.0.0.1:7410"),
@@ -20,27 +20,27 @@
 	}
 	c := &cobra.Command{
 		Use:   "agent",
-		Short: "Run an agent, which guards one upstream",
-		Long: `Run an agent, which guards one upstream.
+		Short: "Run an agent, which manages one upstream",
+		Long: `Run an agent, which manages one upstream.
 
 The upstream announces itself to the agent over HTTP on --listen. The agent
-learns all entries from those given with --entry.`,
+learns the addresses of all entries from those given with --entry.`,
 		Example: `  sardinelock agent --entry 127.0.0.1:7401 --data-centre ub-1 --rack r3`,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			faults := site.faults()
+			problems := site.validate()
 			if len(s.Entries) == 0 {
-				faults = append(faults, "--entry must be set")
+				problems = append(problems, "--entry must be set")
 			}
 			if s.DrainTimeout <= 0 {
-				faults = append(faults, "--drain-timeout must be positive")
+				problems = append(problems, "--drain-timeout must be positive")
 			}
-			faults = append(faults, secure.faults(s.Listen)...)
-			if err := usageFaults(faults); err != nil {
+			problems = append(problems, tls.validate(s.Listen)...)
+			if err := usageErrors(problems); err != nil {
 				return err
 			}
 			var err error
-			if s.TLS, err = secure.certifier(); err != nil {
+			if s.TLS, err = tls.certifier(); err != nil {
 				return err
 			}
 			s.Peer = newPeer(messenger.RoleAgent)
@@ -58,10 +58,10 @@
 	}
 	f := c.Flags()
 	site.register(f)
-	secure.register(f)
+	tls.register(f)
 	f.StringVar(&s.Rack, "rack", "default", "rack of this process")
-	f.Var(addrFlag{&s.Listen}, "listen", "address for announcements of the upstream")
+	f.Var(addrFlag{&s.Listen}, "listen", "listen address for announcements of the upstream")
 	f.Var(addrsFlag{&s.Entries}, "entry", "peer addresses of some entries")
-	f.DurationVar(&s.DrainTimeout, "drain-timeout", s.DrainTimeout, "how long a shutdown waits for running tasks")
+	f.DurationVar(&s.DrainTimeout, "drain-timeout", s.DrainTimeout, "how long a shutdown waits for running tasks to finish")
 	return c
 }
--- a/cmd/sardinelock/cmd/bench_test.go
+++ b/cmd/sardinelock/cmd/bench_test.go
@@ -20,9 +20,9 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// BenchmarkWholePath runs jobs from callers through one entry and eleven agents
-// to upstreams and back, over real connections on loopback, with tasks that take
-// no time. One operation is one job.
+// BenchmarkWholePath runs jobs from callers through one entry and eleven agents to
+// upstreams and back, over real connections on loopback. The tasks have no run time.
+// One operation is one job.
 func BenchmarkWholePath(b *testing.B) {
 	for _, tasks := range []int{1, 58, 580} {
 		b.Run("tasks="+strconv.Itoa(tasks), func(b *testing.B) { benchmarkJobs(b, tasks) })
@@ -35,24 +35,24 @@
 	job := benchmarkJob(tasks)
 	submitMany(b, client, job, callers, callers)
 	var before, after runtime.MemStats
-	sent := system.Traffic()
+	trafficBefore := system.Traffic()
 	runtime.ReadMemStats(&before)
 	b.ResetTimer()
 	submitMany(b, client, job, b.N, callers)
 	b.StopTimer()
 	runtime.ReadMemStats(&after)
-	received := system.Traffic()
+	trafficAfter := system.Traffic()
 	total := float64(b.N * tasks)
 	b.ReportMetric(total/b.Elapsed().Seconds(), "tasks/s")
-	b.ReportMetric(float64(received.MessagesSent-sent.MessagesSent)/total, "messages/task")
-	b.ReportMetric(float64(received.BytesSent-sent.BytesSent)/total, "bytes/task")
+	b.ReportMetric(float64(trafficAfter.MessagesSent-trafficBefore.MessagesSent)/total, "messages/task")
+	b.ReportMetric(float64(trafficAfter.BytesSent-trafficBefore.BytesSent)/total, "bytes/task")
 	b.ReportMetric(float64(after.Mallocs-before.Mallocs)/total, "allocs/task")
 	b.ReportMetric(float64(after.TotalAlloc-before.TotalAlloc)/total, "alloc-bytes/task")
 }
 
-// BenchmarkAddedLatency sends one task at a time, in turn to the upstream directly
-// and through the whole path, and reports what the path adds at the 50th and the
-// 99th percentile.
+// BenchmarkAddedLatency sends one task at a time, alternately to the upstream directly
+// and through the whole path, and reports the latency that the path adds at the 50th
+// and the 99th percentile.
 func BenchmarkAddedLatency(b *testing.B) {
 	system, client := startSystem(b, 1, 11)
 	job := benchmarkJob(1)
@@ -76,8 +76,8 @@
 	dispatched := hdrhistogram.New(1, int64(time.Minute), 3)
 	b.ResetTimer()
 	for range b.N {
-		record(b, direct, call)
-		record(b, dispatched, func() { submitMany(b, client, job, 1, 1) })
+		recordLatency(b, direct, call)
+		recordLatency(b, dispatched, func() { submitMany(b, client, job, 1, 1) })
 	}
 	for _, q := range []float64{50, 99} {
 		added := dispatched.ValueAtQuantile(q) - direct.ValueAtQuantile(q)
@@ -85,20 +85,20 @@
 	}
 }
 
-func record(b *testing.B, h *hdrhistogram.Histogram, call func()) {
+func recordLatency(b *testing.B, h *hdrhistogram.Histogram, call func()) {
 	b.Helper()
-	begun := time.Now()
+	start := time.Now()
 	call()
-	if err := h.RecordValue(int64(time.Since(begun))); err != nil {
+	if err := h.RecordValue(int64(time.Since(start))); err != nil {
 		b.Fatal(err)
 	}
 }
 
 // BenchmarkReady starts a whole system of three entries and eleven agents and
-// waits until every entry can place tasks at every agent.
+// waits until every entry can schedule tasks on every agent.
 func BenchmarkReady(b *testing.B) {
 	for range b.N {
-		begun := time.Now()
+		start := time.Now()
 		ctx, cancel := context.WithCancel(context.Background())
 		system, err := launcher.Start(ctx, launcher.Options{
 			Entries: 3, Agents: 11,
@@ -110,7 +110,7 @@
 		if err := system.AwaitReady(ctx); err != nil {
 			b.Fatal(err)
 		}
-		b.ReportMetric(float64(time.Since(begun).Milliseconds()), "ms-to-ready")
+		b.ReportMetric(float64(time.Since(start).Milliseconds()), "ms-to-ready")
 		b.StopTimer()
 		cancel()
 		system.Wait()
@@ -118,7 +118,7 @@
 	}
 }
 
-// startSystem starts a system for as long as the benchmark runs.
+// startSystem starts a system that is stopped at the end of the benchmark.
 func startSystem(tb testing.TB, entries, agents int) (*launcher.System, *submitter.Client) {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -153,7 +153,8 @@
 	return job
 }
 
-// submitMany submits n jobs from several callers and fails unless all are complete.
+// submitMany submits n jobs from several concurrent callers and reports an error
+// unless all of them complete.
 func submitMany(tb testing.TB, client *submitter.Client, job submitter.Job, n, callers int) {
 	tb.Helper()
 	var wg sync.WaitGroup
--- a/cmd/sardinelock/cmd/config.go
+++ b/cmd/sardinelock/cmd/config.go
@@ -15,8 +15,8 @@
 		Short: "Check, show and change the operators' configuration",
 		Long: `Check, show and change the operators' configuration.
 
-The configuration is one base file for all sites and an overlay for each site
-that needs one. A site is a data centre. docs/CONFIGURATION.md has every key.`,
+The configuration consists of one base file for all sites and optional overlays
+for single sites. A site is a data centre. docs/CONFIGURATION.md lists every key.`,
 		Args: cobra.NoArgs,
 	}
 	c.AddCommand(
--- a/cmd/sardinelock/cmd/config_apply.go
+++ b/cmd/sardinelock/cmd/config_apply.go
@@ -15,7 +15,8 @@
 	"sardinelock.dev/sardinelock/internal/versioner"
 )
 
-// versionTimeout is how long a command tries to learn what became of a change.
+// versionTimeout is the default time that a command spends on learning the outcome
+// of a change.
 const versionTimeout = 20 * time.Second
 
 func newConfigApplyCommand() *cobra.Command {
@@ -25,13 +26,13 @@
 	)
 	c := &cobra.Command{
 		Use:   "apply BASE [OVERLAY...]",
-		Short: "Make a base and its overlays the next version",
-		Long: `Make a base and its overlays the next version.
+		Short: "Apply a base and its overlays as the next version",
+		Long: `Apply a base and its overlays as the next version.
 
-The files are the whole configuration: a site whose overlay is not given has
-none afterwards. --expect-version is the version that the files were made from,
-0 for the first. If another version is current by now, nothing is changed and
-what has changed since then is printed.
+The files replace the whole configuration: a site whose overlay is not given has
+none afterwards. --expect-version is the version that the files are based on, 0
+for the first. If another version has become current, the change is refused and
+the differences between the two versions are printed.
 
 ` + sourceHelp + `
 
@@ -41,7 +42,7 @@
   sardinelock config apply --platform 127.0.0.1:7500 --expect-version 0 base.yaml`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := usageFaults(change.faults(c)); err != nil {
+			if err := usageErrors(change.validate(c)); err != nil {
 				return err
 			}
 			base, overlays, err := readFiles(args)
@@ -65,17 +66,18 @@
 }
 
 // sourceHelp explains the two sources of versions.
-const sourceHelp = `With --admin an entry makes the change in the operator's name, if the role allows
-it, and leaves an audit record. With --platform the command works without any
-entry, as for the first version; whoever reaches the platform's services can then
-change the configuration, and the version names the operator by --operator. If the
-environment sets both, the administration API is used.`
+const sourceHelp = `With --admin an entry makes the change on behalf of the operator, provided that
+the operator's role allows it, and writes an audit record. With --platform the
+command works without any entry, which the first version needs. Anyone who can
+reach the platform's services can change the configuration in this way, and the
+operator is recorded as given by --operator. If the environment sets both, the
+administration API is used.`
 
 // verdictHelp explains the outcomes of a change.
-const verdictHelp = `The command says truly what became of the change. Exit code 0: accepted. Exit
-code 4: refused, it is no version and will not become one. Exit code 5: unknown,
-the platform did not say; run the command again with the printed change id, which
-finds out and makes the change at most once.`
+const verdictHelp = `Exit code 0: the change was accepted. Exit code 4: the change was refused and will
+not take effect. Exit code 5: the outcome is unknown because the platform did not
+confirm it. Run the command again with the printed change id to learn the outcome;
+the change is made at most once.`
 
 // versionFlags are the flags of commands that make a version.
 type versionFlags struct {
@@ -89,27 +91,28 @@
 
 func (f *versionFlags) register(set *pflag.FlagSet) {
 	f.source.register(set)
-	set.Uint64Var(&f.expect, "expect-version", 0, "current version as you have seen it")
-	set.StringVar(&f.id, "change-id", "", "id of the change, to ask for it again (default: a new one)")
-	set.StringVar(&f.operator, "operator", os.Getenv("USER"), "who makes the change; with --admin the token says so")
+	set.Uint64Var(&f.expect, "expect-version", 0, "version that you expect to be current")
+	set.StringVar(&f.id, "change-id", "", "id of the change; pass the printed id to retry (default: a new one)")
+	set.StringVar(&f.operator, "operator", os.Getenv("USER"), "operator who makes the change; ignored with --admin, where the token identifies the operator")
 	set.StringVar(&f.comment, "comment", "", "why")
-	set.DurationVar(&f.timeout, "timeout", versionTimeout, "how long to try to learn what became of the change")
+	set.DurationVar(&f.timeout, "timeout", versionTimeout, "how long to try to learn the outcome of the change")
 }
 
-// faults reports what is wrong with the flags. The expected version has no
-// default: a change that was made from an unknown version could undo another.
-func (f *versionFlags) faults(c *cobra.Command) []string {
-	faults := f.source.choose(c)
+// validate returns the problems of the flags. The expected version has no default:
+// a change that is based on an unknown version could undo another.
+func (f *versionFlags) validate(c *cobra.Command) []string {
+	problems := f.source.choose(c)
 	if !c.Flags().Changed("expect-version") {
-		faults = append(faults, "--expect-version must be set")
+		problems = append(problems, "--expect-version must be set")
 	}
 	if f.timeout <= 0 {
-		faults = append(faults, "--timeout must be positive")
+		problems = append(problems, "--timeout must be positive")
 	}
-	return faults
+	return problems
 }
 
-// apply makes the change, prints what became of it and returns its exit code.
+// apply makes the change, prints its outcome and returns an error that carries the
+// exit code, or nil if the change was accepted.
 func (f *versionFlags) apply(c *cobra.Command, v *versions, output outputFlag, content configurer.Version, rollbackTo uint64) error {
 	change := versioner.Change{
 		ID:            cmp.Or(f.id, versioner.NewChangeID()),
@@ -130,10 +133,10 @@
 	if err := report.print(c, output); err != nil {
 		return err
 	}
-	return report.exit()
+	return report.exitCode()
 }
 
-// versionReport is what a command prints about a change.
+// versionReport prints the outcome of a change.
 type versionReport struct{ versioner.Report }
 
 func (p *versionReport) print(c *cobra.Command, output outputFlag) error {
@@ -161,13 +164,14 @@
 	return printDifferences(w, output, p.Differences)
 }
 
-// exit returns the error that carries the exit code of the verdict.
-func (p *versionReport) exit() error {
+// exitCode returns an error that carries the exit code of the verdict, or nil if
+// the change was accepted.
+func (p *versionReport) exitCode() error {
 	switch p.Verdict {
 	case versioner.VerdictAccepted:
 		return nil
 	case versioner.VerdictRefused:
-		return &codedError{exitNotRun, errors.New("the change is refused")}
+		return &exitCodeError{exitNotRun, errors.New("the change was refused")}
 	}
-	return &codedError{exitUnknown, errors.New("the outcome of the change is unknown")}
+	return &exitCodeError{exitUnknown, errors.New("the outcome of the change is unknown")}
 }
--- a/cmd/sardinelock/cmd/config_check.go
+++ b/cmd/sardinelock/cmd/config_check.go
@@ -14,8 +14,8 @@
 		Short: "Check a base and overlays without a running system",
 		Long: `Check a base and overlays without a running system.
 
-Every fault of all files is printed with file, line and column. The exit code is
-1 if there is any.`,
+All errors in all files are printed with file, line and column. The exit code is
+1 if there are any.`,
 		Example: `  sardinelock config check examples/tuul/base.yaml examples/tuul/ub-1.yaml`,
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/sardinelock/cmd/config_diff.go
+++ b/cmd/sardinelock/cmd/config_diff.go
@@ -21,19 +21,20 @@
 		Short: "Show which effective values differ between versions or files",
 		Long: `Show which effective values differ between versions or files.
 
-With files it compares an accepted version with them, without files two accepted
-versions. A site is named where it differs in another way than the others.`,
+With files, an accepted version is compared with them; without files, two accepted
+versions are compared. SITE names a site whose difference is not the same as that
+of the other sites.`,
 		Example: `  sardinelock config diff --admin 127.0.0.1:7402 --token-file token base.yaml ub-1.yaml
   sardinelock config diff --admin 127.0.0.1:7402 --token-file token --from 5 --to 7`,
 		RunE: func(c *cobra.Command, args []string) error {
-			faults := source.choose(c)
+			problems := source.choose(c)
 			if len(args) > 0 && to > 0 {
-				faults = append(faults, "--to and files exclude each other")
+				problems = append(problems, "--to and files exclude each other")
 			}
 			if len(args) == 0 && from == 0 {
-				faults = append(faults, "--from must be set where no files are given")
+				problems = append(problems, "--from must be set where no files are given")
 			}
-			if err := usageFaults(faults); err != nil {
+			if err := usageErrors(problems); err != nil {
 				return err
 			}
 			v, err := source.versions()
@@ -74,7 +75,7 @@
 	return configurer.NewVersion(base, overlays)
 }
 
-// printDifferences prints differences, those of sites in general first.
+// printDifferences prints differences; a difference without a site applies to all.
 func printDifferences(w io.Writer, output outputFlag, list []configurer.Difference) error {
 	if output.format == outputJSON {
 		if list == nil {
--- a/cmd/sardinelock/cmd/config_history.go
+++ b/cmd/sardinelock/cmd/config_history.go
@@ -20,16 +20,16 @@
 		Short: "List the accepted versions, the newest first",
 		Long: `List the accepted versions, the newest first.
 
-The latest 64 versions are in the platform's table, older ones in its object
-store; all can be compared and rolled back to.`,
+The latest 64 versions are stored in the platform's table, older ones in its object
+store. All of them can be compared and rolled back to.`,
 		Example: `  sardinelock config history --admin 127.0.0.1:7402 --limit 5`,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			faults := source.choose(c)
+			problems := source.choose(c)
 			if limit < 1 {
-				faults = append(faults, "--limit must be at least 1")
+				problems = append(problems, "--limit must be at least 1")
 			}
-			if err := usageFaults(faults); err != nil {
+			if err := usageErrors(problems); err != nil {
 				return err
 			}
 			v, err := source.versions()
--- a/cmd/sardinelock/cmd/config_rollback.go
+++ b/cmd/sardinelock/cmd/config_rollback.go
@@ -17,8 +17,8 @@
 		Short: "Make a new version with the content of an old one",
 		Long: `Make a new version with the content of an old one.
 
-Versions only grow: a rollback is a change like any other and can be rolled back
-itself. The old content is checked as the files of "config apply" are.
+Version numbers only increase: a rollback is a change like any other and can itself
+be rolled back. The old content is validated like the files of "config apply".
 
 ` + sourceHelp + `
 
@@ -26,11 +26,11 @@
 		Example: `  sardinelock config rollback --admin 127.0.0.1:7402 --token-file token --expect-version 8 --to 6`,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			faults := change.faults(c)
+			problems := change.validate(c)
 			if to == 0 {
-				faults = append(faults, "--to must be set")
+				problems = append(problems, "--to must be set")
 			}
-			if err := usageFaults(faults); err != nil {
+			if err := usageErrors(problems); err != nil {
 				return err
 			}
 			v, err := change.source.versions()
@@ -49,7 +49,7 @@
 		},
 	}
 	change.register(c.Flags())
-	c.Flags().Uint64Var(&to, "to", 0, "version whose content to take")
+	c.Flags().Uint64Var(&to, "to", 0, "version whose content to restore")
 	output.register(c.Flags())
 	return c
 }
--- a/cmd/sardinelock/cmd/config_show.go
+++ b/cmd/sardinelock/cmd/config_show.go
@@ -19,8 +19,8 @@
 		Short: "Show the effective values of a site and where each comes from",
 		Long: `Show the effective values of a site and where each comes from.
 
-Without --site it shows those of a site that has no overlay. Of a token's hash
-only the first digits are shown.`,
+Without --site, the values of a site without an overlay are shown. Token hashes
+are truncated to their first digits.`,
 		Example: `  sardinelock config show --site ub-1 examples/tuul/base.yaml examples/tuul/ub-1.yaml`,
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -42,7 +42,8 @@
 	return c
 }
 
-// composeSite checks all files and returns the configuration of one site.
+// composeSite validates all files and returns the effective configuration of one
+// site.
 func composeSite(base configurer.File, overlays []configurer.File, site string) (*configurer.Effective, error) {
 	sites, err := configurer.CheckAll(base, overlays)
 	if err != nil {
--- a/cmd/sardinelock/cmd/config_status.go
+++ b/cmd/sardinelock/cmd/config_status.go
@@ -18,13 +18,14 @@
 	)
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Say which version is in force at which process",
-		Long: `Say which version is in force at which process.
+		Short: "Show which version is in force at which process",
+		Long: `Show which version is in force at which process.
 
-IN-FORCE is how long the version has been in force there. AGE is the time since
-the table last told the process which version is current; agents read no table.
-The state is "current", "behind" if a later version is known, "unconfirmed" if a
-later version could not be learned, and "none" without a version.`,
+IN-FORCE is how long the version has been in force at the process. AGE is the time
+since the process last read the current version from the table; it is empty for
+agents, which do not read the table. STATE is "current", "behind" if the process
+knows of a later version, "unconfirmed" if it could not find out whether there is
+a later version, or "none" if it has no version.`,
 		Example: `  sardinelock config status --admin 127.0.0.1:7402
   sardinelock config status --admin 127.0.0.1:7402 --summary`,
 		Args: cobra.NoArgs,
--- a/cmd/sardinelock/cmd/config_summary.go
+++ b/cmd/sardinelock/cmd/config_summary.go
@@ -12,7 +12,8 @@
 	"sardinelock.dev/sardinelock/internal/messenger"
 )
 
-// statusCount is how many processes of a kind are in one state.
+// statusCount is the number of processes of one role, data centre and version that
+// are in one state.
 type statusCount struct {
 	Role       messenger.Role `json:"role"`
 	DataCentre string         `json:"data-centre"`
@@ -21,8 +22,8 @@
 	Processes  int            `json:"processes"`
 }
 
-// summarizeStatus prints the number of processes of each kind and state, entries
-// first and the latest version first.
+// summarizeStatus prints the status counts, ordered by role with entries first, by
+// data centre, and by version with the latest first.
 func summarizeStatus(c *cobra.Command, admin *adminFlags) error {
 	client, err := admin.client()
 	if err != nil {
--- a/cmd/sardinelock/cmd/config_test.go
+++ b/cmd/sardinelock/cmd/config_test.go
@@ -18,14 +18,15 @@
 	"sardinelock.dev/sardinelock/internal/versioner"
 )
 
-// configPatience bounds what a test waits for; a run that works does not come near it.
-const configPatience = 30 * time.Second
+// configTimeout is the limit for waiting for a condition, far above the time that a
+// successful run needs.
+const configTimeout = 30 * time.Second
 
 func quietLogger() *log.Logger {
 	return &log.Logger{Level: log.ErrorLevel, Writer: &log.IOWriter{Writer: io.Discard}}
 }
 
-// runSystem starts a whole system for a test, which ends it.
+// runSystem starts a whole system that is stopped at the end of the test.
 func runSystem(t *testing.T, entries, agents int) *launcher.System {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -42,17 +43,18 @@
 	}
 	t.Cleanup(func() {
 		cancel()
-		// A stand-in of an upstream reports that its agent ended before it.
+		// The error is ignored: a stand-in for an upstream reports that its agent
+		// terminated first.
 		system.Wait()
 	})
 	return system
 }
 
-// await waits until a status is as wanted.
+// await waits until a status has the given version and state.
 func await(t *testing.T, what string, status func() applier.Status, version uint64, state applier.State) {
 	t.Helper()
 	var s applier.Status
-	for begun := time.Now(); time.Since(begun) < configPatience; time.Sleep(20 * time.Millisecond) {
+	for start := time.Now(); time.Since(start) < configTimeout; time.Sleep(20 * time.Millisecond) {
 		if s = status(); s.Version == version && s.State == state {
 			return
 		}
@@ -84,7 +86,7 @@
 
 	system.Platform.SetFaults(emulator.Faults{Down: true})
 	late := startLateEntry(t, system)
-	// Nobody can read the table; after a while all say so.
+	// No entry can read the table, so that all processes become unconfirmed.
 	await(t, "the late entry", late.ConfigStatus, 2, applier.StateUnconfirmed)
 	await(t, "an agent", system.Agents[0].ConfigStatus, 2, applier.StateUnconfirmed)
 
@@ -96,7 +98,7 @@
 	await(t, "an agent", system.Agents[0].ConfigStatus, 3, applier.StateCurrent)
 }
 
-// startLateEntry starts an entry that knows the others from its settings only.
+// startLateEntry starts an entry that knows the other entries only from its settings.
 func startLateEntry(t *testing.T, system *launcher.System) *dispatcher.Entry {
 	t.Helper()
 	loopback := netip.MustParseAddrPort("127.0.0.1:0")
--- a/cmd/sardinelock/cmd/dev.go
+++ b/cmd/sardinelock/cmd/dev.go
@@ -30,14 +30,14 @@
   sardinelock dev --entries 3 --agents 11`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var faults []string
+			var problems []string
 			if o.Entries < 1 {
-				faults = append(faults, "--entries must be at least 1")
+				problems = append(problems, "--entries must be at least 1")
 			}
 			if o.Agents < 1 {
-				faults = append(faults, "--agents must be at least 1")
+				problems = append(problems, "--agents must be at least 1")
 			}
-			if err := usageFaults(faults); err != nil {
+			if err := usageErrors(problems); err != nil {
 				return err
 			}
 			o.Logger = newLogger("warn")
@@ -86,12 +86,12 @@
 		return err
 	}
 	client := submitter.New(submitter.Options{Entries: system.CallerAddrs()})
-	begun := time.Now()
+	start := time.Now()
 	answer, err := client.Submit(ctx, service, "", *job)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(c.OutOrStdout(), "%s: %d tasks in %s\n", answer.Outcome, len(job.Tasks), time.Since(begun).Round(time.Millisecond))
+	fmt.Fprintf(c.OutOrStdout(), "%s: %d tasks in %s\n", answer.Outcome, len(job.Tasks), time.Since(start).Round(time.Millisecond))
 	if answer.Outcome != submitter.OutcomeComplete {
 		fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", answer.Reason, answer.Detail)
 		return &outcomeError{answer.Outcome}
--- a/cmd/sardinelock/cmd/dev_platform.go
+++ b/cmd/sardinelock/cmd/dev_platform.go
@@ -36,14 +36,14 @@
 		Example: `  sardinelock dev platform --listen 127.0.0.1:7500 --lose-answer-ratio 0.1`,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var bad []string
+			var problems []string
 			if faults.LoseAnswerRatio < 0 || faults.LoseAnswerRatio > 1 {
-				bad = append(bad, "--lose-answer-ratio must be from 0 to 1")
+				problems = append(problems, "--lose-answer-ratio must be from 0 to 1")
 			}
 			if latency < 0 {
-				bad = append(bad, "--latency must not be negative")
+				problems = append(problems, "--latency must not be negative")
 			}
-			if err := usageFaults(bad); err != nil {
+			if err := usageErrors(problems); err != nil {
 				return err
 			}
 			faults.Latency = latency.String()
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// printReady writes the JSON line that says that a stand-in serves.
+// printReady writes the JSON line that announces that a stand-in is serving.
 func printReady(c *cobra.Command, role string, addr net.Addr) {
 	fmt.Fprintf(c.ErrOrStderr(), "{\"event\":\"ready\",\"role\":%q,\"address\":%q}\n", role, addr.String())
 }
--- a/cmd/sardinelock/cmd/dev_upstream.go
+++ b/cmd/sardinelock/cmd/dev_upstream.go
@@ -28,28 +28,28 @@
 		Short: "Run a stand-in for an upstream",
 		Long: `Run a stand-in for an upstream, which announces itself to an agent.
 
-A task's payload is a JSON object whose "run-time" says how long it takes. Every
-start and end of a task is written to standard output as one JSON line.`,
+The payload of a task is a JSON object whose "run-time" is the duration of the task.
+Each start and each end of a task is written to standard output as one JSON line.`,
 		Example: `  sardinelock dev upstream --agent 127.0.0.1:7410 --slots 8 --fail-ratio 0.01`,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			var faults []string
+			var problems []string
 			if !agent.IsValid() {
-				faults = append(faults, "--agent must be set")
+				problems = append(problems, "--agent must be set")
 			}
 			if o.Slots < 1 {
-				faults = append(faults, "--slots must be at least 1")
+				problems = append(problems, "--slots must be at least 1")
 			}
 			if o.FailRatio < 0 || o.FailRatio > 1 {
-				faults = append(faults, "--fail-ratio must be from 0 to 1")
+				problems = append(problems, "--fail-ratio must be from 0 to 1")
 			}
 			if o.AbortRatio < 0 || o.AbortRatio > 1 {
-				faults = append(faults, "--tear-ratio must be from 0 to 1")
+				problems = append(problems, "--tear-ratio must be from 0 to 1")
 			}
 			if o.DelayFactor <= 0 {
-				faults = append(faults, "--delay-factor must be positive")
+				problems = append(problems, "--delay-factor must be positive")
 			}
-			if err := usageFaults(faults); err != nil {
+			if err := usageErrors(problems); err != nil {
 				return err
 			}
 			o.Log = c.OutOrStdout()
@@ -62,19 +62,19 @@
 	f.Var(addrFlag{&listen}, "listen", "address to serve on")
 	f.Var(addrFlag{&agent}, "agent", "address of the agent")
 	f.StringSliceVar(&announcement.Services, "services", []string{"quote"}, "services to announce")
-	f.IntVar(&o.Slots, "slots", 8, "true capacity; it is announced as well")
+	f.IntVar(&o.Slots, "slots", 8, "true number of slots, which is also announced")
 	f.IntVar(&announcement.Connections, "connections", 64, "connections to announce")
 	f.Int64Var(&announcement.MemoryBytes, "memory-bytes", 32<<30, "memory to announce")
 	f.IntVar(&announcement.Accelerators, "accelerators", 0, "accelerators to announce")
-	f.DurationVar(&timeToLive, "time-to-live", 5*time.Second, "time to live of an announcement")
+	f.DurationVar(&timeToLive, "time-to-live", 5*time.Second, "time to live (TTL) of an announcement")
 	f.Float64Var(&o.FailRatio, "fail-ratio", 0, "share of tasks that fail")
 	f.Float64Var(&o.AbortRatio, "tear-ratio", 0, "share of tasks whose connection is closed before or in the middle of the answer")
-	f.Float64Var(&o.DelayFactor, "delay-factor", 1, "factor on every run time")
+	f.Float64Var(&o.DelayFactor, "delay-factor", 1, "factor by which every run time is multiplied")
 	f.Uint64Var(&o.Seed, "seed", 1, "seed of the failures")
 	return c
 }
 
-// runUpstream serves and announces until the command's context ends.
+// runUpstream serves and sends announcements until the command's context ends.
 func runUpstream(c *cobra.Command, listen, agent netip.AddrPort, a invoker.Announcement, o emulator.UpstreamOptions) error {
 	l, err := net.Listen("tcp", listen.String())
 	if err != nil {
@@ -85,7 +85,7 @@
 	server := &http.Server{Handler: emulator.NewUpstream(o), ReadHeaderTimeout: standInHeaderTimeout}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(l) }()
-	// The agent may be gone by the time of the last announcement.
+	// The last announcement may fail because the agent has already terminated.
 	_ = emulator.Announce(c.Context(), agent, a)
 	if err := server.Shutdown(context.Background()); err != nil {
 		return errors.Trace(err)
--- a/cmd/sardinelock/cmd/entries.go
+++ b/cmd/sardinelock/cmd/entries.go
@@ -8,18 +8,19 @@
 	"sardinelock.dev/sardinelock/internal/administrator"
 )
 
-// newEntriesCommand has the plural as its name because "entry" runs one.
+// newEntriesCommand returns the command "entries". Its name is a plural because the
+// command "entry" runs an entry.
 func newEntriesCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "entries",
-		Short: "Look at entries and drain them",
+		Short: "List and drain entries",
 		Args:  cobra.NoArgs,
 	}
 	c.AddCommand(newEntriesListCommand(), newEntriesDrainCommand(), newEntriesUndrainCommand())
 	return c
 }
 
-// entryChange is a command that changes one entry.
+// entryChange completes a command that applies an action to one entry.
 func entryChange(action string, c *cobra.Command) *cobra.Command {
 	var change changeFlags
 	c.Args = cobra.ExactArgs(1)
--- a/cmd/sardinelock/cmd/entry.go
+++ b/cmd/sardinelock/cmd/entry.go
@@ -13,7 +13,7 @@
 func newEntryCommand() *cobra.Command {
 	var (
 		site    siteFlags
-		secure  serverTLSFlags
+		tls     serverTLSFlags
 		regions []string
 	)
 	s := dispatcher.Settings{
@@ -25,32 +25,32 @@
 	}
 	c := &cobra.Command{
 		Use:   "entry",
-		Short: "Run an entry, which takes jobs from callers",
-		Long: `Run an entry, which takes jobs from callers.
+		Short: "Run an entry, which accepts jobs from callers",
+		Long: `Run an entry, which accepts jobs from callers.
 
-It prints one JSON line with the event "ready" and the bound addresses once it
-serves. SIGTERM lets it finish what is in flight and exit with code 0.`,
+Once it serves, it logs one JSON line with the event "ready" and its listen
+addresses. After SIGTERM it finishes the requests in flight and exits with code 0.`,
 		Example: `  sardinelock entry --platform 127.0.0.1:7500 --data-centre ub-1
   sardinelock entry --platform 127.0.0.1:7500 --region ub --regions ub,kw
   SARDINELOCK_PLATFORM=127.0.0.1:7500 sardinelock entry --caller-listen 127.0.0.1:0`,
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			faults := site.faults()
+			problems := site.validate()
 			if !s.Platform.IsValid() {
-				faults = append(faults, "--platform must be set")
+				problems = append(problems, "--platform must be set")
 			}
 			if s.DrainTimeout <= 0 {
-				faults = append(faults, "--drain-timeout must be positive")
+				problems = append(problems, "--drain-timeout must be positive")
 			} else if s.DrainNotice < 0 || s.DrainNotice >= s.DrainTimeout {
-				faults = append(faults, "--drain-notice must be from 0s to less than --drain-timeout")
+				problems = append(problems, "--drain-notice must be from 0s to less than --drain-timeout")
 			}
-			faults = append(faults, regionFaults(site.region, regions)...)
-			faults = append(faults, secure.faults(s.CallerListen, s.PeerListen, s.AdminListen)...)
-			if err := usageFaults(faults); err != nil {
+			problems = append(problems, validateRegions(site.region, regions)...)
+			problems = append(problems, tls.validate(s.CallerListen, s.PeerListen, s.AdminListen)...)
+			if err := usageErrors(problems); err != nil {
 				return err
 			}
 			var err error
-			if s.TLS, err = secure.certifier(); err != nil {
+			if s.TLS, err = tls.certifier(); err != nil {
 				return err
 			}
 			s.Peer = newPeer(messenger.RoleEntry)
@@ -69,33 +69,33 @@
 	}
 	f := c.Flags()
 	site.register(f)
-	secure.register(f)
-	f.StringVar(&s.Instance, "instance", "", "name of the place of this entry, which its successor has as well (default: data centre and peer address)")
-	f.StringSliceVar(&regions, "regions", nil, "all regions, in the same order at every entry; it never changes (default: that of this process alone)")
-	f.Var(addrFlag{&s.CallerListen}, "caller-listen", "address for callers")
-	f.Var(addrFlag{&s.PeerListen}, "peer-listen", "address for agents and other entries")
-	f.Var(addrFlag{&s.AdminListen}, "admin-listen", "address for administration and metrics")
+	tls.register(f)
+	f.StringVar(&s.Instance, "instance", "", "stable name of this entry, which stays the same when the process is replaced (default: data centre and peer address)")
+	f.StringSliceVar(&regions, "regions", nil, "all regions, in the same order at every entry; the list must never change (default: only the region of this process)")
+	f.Var(addrFlag{&s.CallerListen}, "caller-listen", "listen address for callers")
+	f.Var(addrFlag{&s.PeerListen}, "peer-listen", "listen address for agents and other entries")
+	f.Var(addrFlag{&s.AdminListen}, "admin-listen", "listen address for administration and metrics")
 	f.Var(addrFlag{&s.Platform}, "platform", "address of the platform's services")
-	f.Var(addrsFlag{&s.Entries}, "entry", "peer addresses of some entries, for the configuration if the platform is down at the start")
-	f.DurationVar(&s.DrainNotice, "drain-notice", s.DrainNotice, "how long a shutdown still takes requests, so that the balancer sees /readyz and sends them elsewhere")
+	f.Var(addrsFlag{&s.Entries}, "entry", "peer addresses of some entries, from which the configuration is read if the platform is down at the start")
+	f.DurationVar(&s.DrainNotice, "drain-notice", s.DrainNotice, "how long a shutdown still accepts requests, so that the balancer notices /readyz and redirects them")
 	f.DurationVar(&s.DrainTimeout, "drain-timeout", s.DrainTimeout, "how long a shutdown waits for requests in flight")
 	return c
 }
 
-// regionFaults reports what is wrong with the list of all regions.
-func regionFaults(own string, all []string) []string {
+// validateRegions returns the problems of the list of all regions.
+func validateRegions(own string, all []string) []string {
 	if len(all) == 0 {
 		return nil
 	}
-	var faults []string
+	var problems []string
 	if !slices.Contains(all, own) {
-		faults = append(faults, "--regions must have the region of this process, "+own)
+		problems = append(problems, "--regions must have the region of this process, "+own)
 	}
 	for i, name := range all {
 		if name == "" || slices.Contains(all[:i], name) {
-			faults = append(faults, "--regions must have names that differ and are not empty")
+			problems = append(problems, "--regions must have names that differ and are not empty")
 			break
 		}
 	}
-	return faults
+	return problems
 }
--- a/cmd/sardinelock/cmd/explain.go
+++ b/cmd/sardinelock/cmd/explain.go
@@ -18,10 +18,10 @@
 func newExplainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain JOB-ID [FILE...]",
-		Short: "Print the life of a job from the logs of all processes",
-		Long: `Print the life of a job from the logs of all processes, in the order of time.
+		Short: "Print the timeline of a job from the logs of all processes",
+		Long: `Print the timeline of a job from the logs of all processes, in chronological order.
 
-Reads the files, or standard input. Whatever stands before the JSON of a line, such
+Reads the files, or standard input. Text in front of the JSON object of a line, such
 as the name of the instance, is printed in front of the event.`,
 		Example: `  sardinelock explain 5c0e7a21d94b36f8 entry.log agent-*.log`,
 		Args:    cobra.MinimumNArgs(1),
@@ -33,23 +33,23 @@
 			if len(lines) == 0 {
 				return errors.Errorf("no line names the job %q", args[0])
 			}
-			printLife(c.OutOrStdout(), lines)
+			printTimeline(c.OutOrStdout(), lines)
 			return nil
 		},
 	}
 }
 
-// logLine is a line of a process's log.
+// logLine is a parsed line of a process's log.
 type logLine struct {
-	source string // source is what stands before the JSON.
+	source string // the text before the JSON object, or the file name
 	at     time.Time
 	event  string
-	fields []string // fields has "name=value" of all that is set.
+	fields []string // "name=value" of each field that is not empty, sorted
 }
 
 const maxLineBytes = 1 << 20
 
-// readLogs returns the lines that name a job, in the order of time.
+// readLogs returns the lines that mention a job, in chronological order.
 func readLogs(stdin io.Reader, files []string, job string) ([]logLine, error) {
 	var lines []logLine
 	if len(files) == 0 {
@@ -92,7 +92,8 @@
 	return lines, s.Err()
 }
 
-// parseLine reads the JSON of a line; false if it is none.
+// parseLine parses the JSON object of a line. It returns false if the text is not
+// a JSON object.
 func parseLine(text string) (logLine, bool) {
 	var fields map[string]any
 	if json.Unmarshal([]byte(text), &fields) != nil {
@@ -115,10 +116,10 @@
 	return l, true
 }
 
-func printLife(w io.Writer, lines []logLine) {
-	begun := lines[0].at
+func printTimeline(w io.Writer, lines []logLine) {
+	start := lines[0].at
 	for _, l := range lines {
 		fmt.Fprintf(w, "%9.1f ms  %-24s %-16s %s\n",
-			float64(l.at.Sub(begun))/float64(time.Millisecond), l.source, l.event, strings.Join(l.fields, " "))
+			float64(l.at.Sub(start))/float64(time.Millisecond), l.source, l.event, strings.Join(l.fields, " "))
 	}
 }
--- a/cmd/sardinelock/cmd/failure_test.go
+++ b/cmd/sardinelock/cmd/failure_test.go
@@ -12,8 +12,9 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// Jobs whose owner is killed while they run complete, for who waits at another
-// entry and for who submits them again, with each task started once.
+// TestOwnerKilledMidJob checks that running jobs complete after their owner is killed,
+// for callers that wait at another entry and for callers that submit the job again,
+// and that each task starts once.
 func TestOwnerKilledMidJob(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3, 3)
@@ -45,8 +46,8 @@
 	}
 }
 
-// An owner that is paused past its lease and woken after another has taken over
-// starts nothing twice.
+// TestOwnerPausedPastItsLease pauses an owner until its lease has expired and another
+// entry has taken over. After it resumes, no task may start twice.
 func TestOwnerPausedPastItsLease(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3, 3)
@@ -87,8 +88,8 @@
 	}
 }
 
-// A job with tasks at an agent that is killed fails, and none of its tasks is
-// started a second time.
+// TestAgentKilledWithStartedTasks kills an agent that runs tasks of a job. The job must
+// not complete, and none of its tasks may start a second time.
 func TestAgentKilledWithStartedTasks(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 2, 3)
@@ -109,20 +110,21 @@
 	f.checkOnce(id)
 }
 
-// Draining an entry under load fails no request.
+// TestDrainOfEntryUnderLoad checks that no request fails while an entry drains.
 func TestDrainOfEntryUnderLoad(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3, 3)
 	load := f.startLoad([]int{0, 1, 2})
 	time.Sleep(2 * time.Second)
-	load.without(0)
+	load.exclude(0)
 	f.entries[0].signal(syscall.SIGTERM)
 	f.awaitExit(f.entries[0])
 	time.Sleep(time.Second)
 	load.check(t)
 }
 
-// Draining an agent under load fails no request.
+// TestDrainOfAgentUnderLoad checks that no request fails while an agent drains, and
+// that the agent transfers its records to a successor.
 func TestDrainOfAgentUnderLoad(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 2, 3)
@@ -131,7 +133,7 @@
 	f.agents[0].signal(syscall.SIGTERM)
 	f.awaitExit(f.agents[0])
 	if text := f.agents[0].stderr.String(); !strings.Contains(text, `"event":"bequeathed"`) {
-		t.Errorf("the agent found no heir for its records: %s", text)
+		t.Errorf("the agent found no successor for its records: %s", text)
 	}
 	time.Sleep(time.Second)
 	load.check(t)
@@ -149,16 +151,16 @@
 	}
 }
 
-// load submits jobs until it is checked.
+// load submits jobs from concurrent workers until check is called.
 type load struct {
 	fleet *fleet
 	stop  chan struct{}
 	wg    sync.WaitGroup
 
-	mu      sync.Mutex
-	entries []int
-	answers int
-	faults  []string
+	mu       sync.Mutex
+	entries  []int
+	answers  int
+	failures []string
 }
 
 const loadWorkers = 8
@@ -171,8 +173,8 @@
 	return l
 }
 
-// without keeps further jobs away from an entry, as a balancer does.
-func (l *load) without(entry int) {
+// exclude sends no further jobs to an entry, like a balancer.
+func (l *load) exclude(entry int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var kept []int
@@ -199,24 +201,25 @@
 		l.mu.Lock()
 		l.answers++
 		if answer.Outcome != submitter.OutcomeComplete {
-			l.faults = append(l.faults, fmt.Sprintf("entry %d: %s %s %s", entry, answer.Outcome, answer.Reason, answer.Detail))
+			l.failures = append(l.failures, fmt.Sprintf("entry %d: %s %s %s", entry, answer.Outcome, answer.Reason, answer.Detail))
 		}
 		l.mu.Unlock()
 	}
 }
 
-// check ends the load and fails the test if a job was not complete.
+// check stops the load and fails the test if a job did not complete or a task started
+// more than once.
 func (l *load) check(t *testing.T) {
 	t.Helper()
 	close(l.stop)
 	l.wg.Wait()
-	t.Logf("%d jobs, %d not complete", l.answers, len(l.faults))
+	t.Logf("%d jobs, %d not complete", l.answers, len(l.failures))
 	if l.answers == 0 {
 		t.Error("no job was answered")
 	}
-	for i, fault := range l.faults {
+	for i, failure := range l.failures {
 		if i < 10 {
-			t.Error(fault)
+			t.Error(failure)
 		}
 	}
 	l.fleet.stopUpstreams()
--- a/cmd/sardinelock/cmd/hostile_test.go
+++ b/cmd/sardinelock/cmd/hostile_test.go
@@ -27,9 +27,9 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-const patience = time.Minute
+const clientTimeout = time.Minute
 
-// newSystem starts a system that ends with the test.
+// newSystem starts a system that is stopped at the end of the test.
 func newSystem(t *testing.T, o launcher.Options) *launcher.System {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -52,7 +52,7 @@
 	return system
 }
 
-// submitAll submits jobs one after the other and returns how many had each
+// submitAll submits jobs one after the other and returns the number of jobs by
 // outcome.
 func submitAll(t *testing.T, o submitter.Options, jobs int) map[submitter.Outcome]int {
 	t.Helper()
@@ -60,7 +60,7 @@
 	outcomes := make(map[submitter.Outcome]int)
 	for range jobs {
 		answer, err := client.Submit(t.Context(), "quote", "", submitter.Job{
-			Deadline: submitter.Duration(patience),
+			Deadline: submitter.Duration(clientTimeout),
 			Tasks:    []submitter.Task{{Payload: json.RawMessage(`{"run-time":"1ms"}`), Repeatable: true}},
 		})
 		if err != nil {
@@ -72,9 +72,9 @@
 	return outcomes
 }
 
-// TestHostileClients lets clients that send their header slowly, send bodies and
-// messages that are too large, or break off run beside good ones. Every request
-// of the good ones succeeds, and every hostile one is turned away.
+// TestHostileClients runs good clients beside clients that send headers slowly, send
+// bodies or messages that are too large, or abort requests. Every good request must
+// succeed, and every hostile one must be rejected.
 func TestHostileClients(t *testing.T) {
 	const goodClients, jobsEach, hostileEach = 4, 50, 8
 	system := newSystem(t, launcher.Options{Entries: 1, Agents: 2})
@@ -119,13 +119,13 @@
 	}
 }
 
-// TestHalfClosedCaller sends a request and closes the sending side before the
-// answer is known. The caller gets an answer that claims nothing, and no empty one
-// with a good status. Submitting the id again is safe.
+// TestHalfClosedCaller closes the sending side of a connection before the answer to its
+// request is known. The caller must get the outcome "unknown", not an empty answer with
+// a status of success. Submitting the same id again must be safe.
 func TestHalfClosedCaller(t *testing.T) {
 	system := newSystem(t, launcher.Options{Entries: 1, Agents: 1})
-	maker := identifier.Generator{Random: rand.NewChaCha8([32]byte{5})}
-	id := maker.New(time.Now()).String()
+	ids := identifier.Generator{Random: rand.NewChaCha8([32]byte{5})}
+	id := ids.New(time.Now()).String()
 	const body = `{"deadline":"50s","tasks":[{"payload":{"run-time":"100ms"}}]}`
 	conn, err := dial(system.Entries[0].CallerAddr())
 	if err != nil {
@@ -163,20 +163,20 @@
 	}
 	total, repeated := system.Upstreams[0].Starts()
 	if repeated != 0 || again.Outcome == submitter.OutcomeComplete && total != 1 || again.Outcome == submitter.OutcomeNotRun && total != 0 {
-		t.Errorf("the job is %s and %d tasks started, %d of them again", again.Outcome, total, repeated)
+		t.Errorf("the outcome is %s, %d tasks started, %d of them repeatedly", again.Outcome, total, repeated)
 	}
 }
 
 func dial(addr netip.AddrPort) (net.Conn, error) {
-	conn, err := net.DialTimeout("tcp", addr.String(), patience)
+	conn, err := net.DialTimeout("tcp", addr.String(), clientTimeout)
 	if err != nil {
 		return nil, err
 	}
-	return conn, conn.SetDeadline(time.Now().Add(patience))
+	return conn, conn.SetDeadline(time.Now().Add(clientTimeout))
 }
 
-// sendSlowHeader sends a header without an end, a byte at a time, until the
-// server closes the connection.
+// sendSlowHeader sends an endless header one byte at a time until the server closes
+// the connection.
 func sendSlowHeader(addr netip.AddrPort) error {
 	conn, err := dial(addr)
 	if err != nil {
@@ -209,14 +209,14 @@
 	return expectStatus(addr, "GET / HTTP/1.1\r\nHost: x\r\nX: "+strings.Repeat("a", 1<<20)+"\r\n\r\n", http.StatusRequestHeaderFieldsTooLarge)
 }
 
-// expectStatus sends a request and reads the status line of the answer.
+// expectStatus sends a request and checks the status line of the answer.
 func expectStatus(addr netip.AddrPort, request string, status int) error {
 	conn, err := dial(addr)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	// The server may answer and close before the request is sent whole.
+	// The server may answer and close the connection before the whole request is sent.
 	go func() { _, _ = io.WriteString(conn, request) }()
 	line := make([]byte, len("HTTP/1.1 000"))
 	if _, err := io.ReadFull(conn, line); err != nil {
@@ -228,33 +228,33 @@
 	return nil
 }
 
-// sendLargeBody sends one task whose payload is larger than any body may be.
+// sendLargeBody sends one task whose payload exceeds the maximum size of a body.
 func sendLargeBody(addr netip.AddrPort) error {
-	body := io.MultiReader(strings.NewReader(`{"tasks":[{"payload":"`), io.LimitReader(letters{}, 40<<20), strings.NewReader(`"}]}`))
+	body := io.MultiReader(strings.NewReader(`{"tasks":[{"payload":"`), io.LimitReader(letterReader{}, 40<<20), strings.NewReader(`"}]}`))
 	resp, err := http.Post("http://"+addr.String()+"/v1/services/quote/jobs", "application/json", body)
 	if err != nil {
-		// The server may close the connection while the body is on its way.
+		// The server may close the connection while the body is being sent.
 		return nil
 	}
 	defer resp.Body.Close()
-	// On a machine that is busy for longer than the limit, the time decides first.
+	// On a busy machine the request may time out before the size limit is reached.
 	if resp.StatusCode != http.StatusRequestEntityTooLarge && resp.StatusCode != http.StatusRequestTimeout {
 		return fmt.Errorf("status %d", resp.StatusCode)
 	}
 	return nil
 }
 
-// letters is an endless text.
-type letters struct{}
+// letterReader is an endless text.
+type letterReader struct{}
 
-func (letters) Read(p []byte) (int, error) {
+func (letterReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = 'a'
 	}
 	return len(p), nil
 }
 
-// sendHalfRequest breaks off within the body.
+// sendHalfRequest closes the connection in the middle of the body.
 func sendHalfRequest(addr netip.AddrPort) error {
 	conn, err := dial(addr)
 	if err != nil {
@@ -265,10 +265,10 @@
 	return err
 }
 
-// sendLargeMessage poses as an entry and sends a message beyond the limit. The
-// connection must be closed.
+// sendLargeMessage connects as an entry and sends a message that exceeds the size
+// limit. It returns an error unless the connection is closed.
 func sendLargeMessage(ctx context.Context, addr netip.AddrPort) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	ws, _, err := websocket.Dial(ctx, "ws://"+addr.String()+connector.Path, nil)
 	if err != nil {
@@ -289,7 +289,7 @@
 	if err := ws.Write(ctx, websocket.MessageBinary, hello.Bytes()); err != nil {
 		return err
 	}
-	// The write may fail because the server closes the connection within it.
+	// The write may fail because the server closes the connection meanwhile.
 	_ = ws.Write(ctx, websocket.MessageBinary, make([]byte, messenger.MaxMessageBytes+1))
 	for {
 		if _, _, err := ws.Read(ctx); err != nil {
--- a/cmd/sardinelock/cmd/job.go
+++ b/cmd/sardinelock/cmd/job.go
@@ -12,14 +12,14 @@
 func newJobCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "job",
-		Short: "Look at jobs and cancel them",
+		Short: "Show and cancel jobs",
 		Args:  cobra.NoArgs,
 	}
 	c.AddCommand(newJobGetCommand(), newJobCancelCommand(), newJobListCommand())
 	return c
 }
 
-// callerFlags are the settings of a command that calls entries as a caller does.
+// callerFlags are the settings of a command that calls entries in the role of a caller.
 type callerFlags struct {
 	clientFlags
 	entries []netip.AddrPort
@@ -27,12 +27,12 @@
 }
 
 func (f *callerFlags) register(flags *pflag.FlagSet) {
-	flags.Var(addrsFlag{&f.entries}, "entry", "callers' addresses of entries")
-	flags.StringVar(&f.team, "team", "", "team of the caller, where entries ask for no token")
+	flags.Var(addrsFlag{&f.entries}, "entry", "caller addresses of entries")
+	flags.StringVar(&f.team, "team", "", "team of the caller, if the entries require no token")
 	f.clientFlags.register(flags)
 }
 
-func (f *callerFlags) faults() []string {
+func (f *callerFlags) validate() []string {
 	if len(f.entries) == 0 {
 		return []string{"--entry must be set"}
 	}
--- a/cmd/sardinelock/cmd/job_cancel.go
+++ b/cmd/sardinelock/cmd/job_cancel.go
@@ -20,11 +20,11 @@
 		Short: "Cancel a job, or all jobs of a service or team",
 		Long: `Cancel a job of the caller's team through --entry, and print its state as JSON.
 
-With --operator an operator cancels any job through --admin, and with
---all-of-service or --all-of-team all open jobs of a service or team.
+With --operator, an operator cancels any job through --admin. --all-of-service and
+--all-of-team cancel all open jobs of a service or team, also through --admin.
 
-What runs is stopped, what waits is dropped. A job that is answered stays as it
-is.`,
+Running tasks are stopped and waiting tasks are dropped. A job that already has its
+answer is not changed.`,
 		Example: `  sardinelock job cancel 0193b1c0-7e4a-7b39-a540-3aaf28009530 --entry 127.0.0.1:7400
   sardinelock job cancel 0193b1c0-7e4a-7b39-a540-3aaf28009530 --operator --admin 127.0.0.1:7402
   sardinelock job cancel --all-of-service quote --admin 127.0.0.1:7402`,
@@ -51,16 +51,17 @@
 	}
 	f := c.Flags()
 	caller.register(f)
-	f.Var(addrsFlag{&change.addrs}, "admin", "administration addresses of entries; they are tried in order")
+	f.Var(addrsFlag{&change.addrs}, "admin", "administration addresses of entries, tried in order")
 	change.output.register(f)
-	f.StringVar(&change.changeID, "change-id", "", "UUID that names the change with --admin (default: a new one)")
+	f.StringVar(&change.changeID, "change-id", "", "UUID of the change, with --admin (default: a new one)")
 	f.BoolVar(&operator, "operator", false, "cancel as an operator, through --admin")
 	f.StringVar(&service, "all-of-service", "", "cancel all open jobs of a service")
 	f.StringVar(&team, "all-of-team", "", "cancel all open jobs of a team")
 	return c
 }
 
-// cancelPath returns the path of the one thing that is to be cancelled.
+// cancelPath returns the API path that cancels the given job, service or team.
+// Exactly one of them must be given.
 func cancelPath(args []string, service, team string) (string, error) {
 	var paths []string
 	if len(args) > 0 {
@@ -73,13 +74,13 @@
 		paths = append(paths, "/v1/admin/teams/"+url.PathEscape(team)+"/cancel")
 	}
 	if len(paths) != 1 {
-		return "", usageFaults([]string{"give exactly one of ID, --all-of-service and --all-of-team"})
+		return "", usageErrors([]string{"give exactly one of ID, --all-of-service and --all-of-team"})
 	}
 	return paths[0], nil
 }
 
 func cancelAsCaller(c *cobra.Command, caller *callerFlags, args []string) error {
-	if err := usageFaults(caller.faults()); err != nil {
+	if err := usageErrors(caller.validate()); err != nil {
 		return err
 	}
 	client, err := caller.client()
--- a/cmd/sardinelock/cmd/load.go
+++ b/cmd/sardinelock/cmd/load.go
@@ -27,7 +27,7 @@
 	output    string
 	plot      string
 	quiet     bool
-	// The flags below replace what the experiment says, if they are set.
+	// If set, the flags below override the values of the experiment.
 	seed     uint64
 	duration time.Duration
 	rate     float64
@@ -38,17 +38,17 @@
 	var l loadFlags
 	c := &cobra.Command{
 		Use:   "load",
-		Short: "Load a system with jobs, disturb it and check its answers",
-		Long: `Load a system with jobs, disturb it and check its answers.
+		Short: "Load a system with jobs, inject faults and check its answers",
+		Long: `Load a system with jobs, inject faults and check its answers.
 
-The load is open-loop: jobs arrive when the experiment says, whether or not
-earlier ones are answered, and latency counts from the intended start. With
---dev the system runs in this process on loopback, and the experiment's steps
-disturb it. Without, --entry names a running system on this machine; start logs
-of its stand-in upstreams and the addresses of its metrics let the loader check
-starts and count messages.
+The load is open-loop: jobs arrive at the times that the experiment defines, whether
+or not earlier ones have been answered, and latency counts from the intended start.
+With --dev, the system runs in this process on loopback, and the experiment's steps
+inject faults. Without --dev, --entry names a running system on this machine. The
+start logs of its stand-in upstreams let the loader check starts, and its metrics
+addresses let the loader count messages.
 
-The exit code is 1 if a check is violated or an arrival could not be sent.`,
+The exit code is 1 if a check is violated or a job could not be sent.`,
 		Example: `  sardinelock load --dev --experiment examples/tuul/experiment.yaml --plot tuul.svg
   sardinelock load --entry 127.0.0.1:7400 --rate 50 --duration 30s --output json`,
 		Args: cobra.NoArgs,
@@ -65,36 +65,36 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&l.file, "experiment", "", "file with the experiment (default: small jobs at the size of today)")
+	f.StringVar(&l.file, "experiment", "", "file with the experiment (default: small jobs on a system of the current size)")
 	f.BoolVar(&l.dev, "dev", false, "run the system in this process")
-	f.Var(addrsFlag{&l.entries}, "entry", "callers' addresses of entries of a running system, on loopback")
-	f.Var(addrsFlag{&l.metrics}, "metrics", "addresses at which processes of a running system serve metrics")
+	f.Var(addrsFlag{&l.entries}, "entry", "caller addresses of entries of a running system, on loopback")
+	f.Var(addrsFlag{&l.metrics}, "metrics", "metrics addresses of the processes of a running system")
 	f.StringSliceVar(&l.startLogs, "start-log", nil, "files with the standard output of dev upstreams")
-	f.IntVar(&l.slots, "slots", 0, "slots of all upstreams of a running system (default: as the experiment says)")
+	f.IntVar(&l.slots, "slots", 0, "total slots of the upstreams of a running system (default: from the experiment)")
 	f.StringVar(&l.token, "token", "", "bearer token of the callers")
-	f.StringVar(&l.output, "output", "table", "form of the result: table or json")
-	f.StringVar(&l.plot, "plot", "", "file for a plot of the response times, .png or .svg")
-	f.BoolVar(&l.quiet, "quiet", false, "print no progress")
-	f.Uint64Var(&l.seed, "seed", 0, "seed of the load (default: as the experiment says)")
-	f.DurationVar(&l.duration, "duration", 0, "duration of the arrivals (default: as the experiment says)")
-	f.Float64Var(&l.rate, "rate", 0, "jobs a second (default: as the experiment says)")
-	f.StringVar(&l.process, "process", "", "arrival process: steady, poisson or burst (default: as the experiment says)")
+	f.StringVar(&l.output, "output", "table", "format of the result: table or json")
+	f.StringVar(&l.plot, "plot", "", "file to write a plot of the response times to, .png or .svg")
+	f.BoolVar(&l.quiet, "quiet", false, "do not print progress")
+	f.Uint64Var(&l.seed, "seed", 0, "seed of the load (default: from the experiment)")
+	f.DurationVar(&l.duration, "duration", 0, "duration of the arrivals (default: from the experiment)")
+	f.Float64Var(&l.rate, "rate", 0, "jobs per second (default: from the experiment)")
+	f.StringVar(&l.process, "process", "", "arrival process: steady, poisson or burst (default: from the experiment)")
 	return c
 }
 
-// experiment reads the experiment, applies the flags and reports what is wrong.
+// experiment reads the experiment, applies the flags and validates the result.
 func (l *loadFlags) experiment(c *cobra.Command) (loader.Experiment, error) {
-	var faults []string
+	var problems []string
 	if l.dev == (len(l.entries) > 0) {
-		faults = append(faults, "either --dev or --entry must be set")
+		problems = append(problems, "either --dev or --entry must be set")
 	}
 	if l.output != "table" && l.output != "json" {
-		faults = append(faults, "--output must be table or json, not "+l.output)
+		problems = append(problems, "--output must be table or json, not "+l.output)
 	}
 	switch filepath.Ext(l.plot) {
 	case "", ".png", ".svg":
 	default:
-		faults = append(faults, "--plot must end in .png or .svg")
+		problems = append(problems, "--plot must end in .png or .svg")
 	}
 	x := loader.DefaultExperiment()
 	if l.file != "" {
@@ -108,9 +108,9 @@
 	}
 	l.override(c, &x)
 	if err := x.Complete(); err != nil {
-		faults = append(faults, err.Error())
+		problems = append(problems, err.Error())
 	}
-	return x, usageFaults(faults)
+	return x, usageErrors(problems)
 }
 
 func (l *loadFlags) override(c *cobra.Command, x *loader.Experiment) {
@@ -134,14 +134,14 @@
 		progress = nil
 	}
 	if !l.dev {
-		return loader.Run(c.Context(), x, l.running(&x), progress)
+		return loader.Run(c.Context(), x, l.runningTarget(&x), progress)
 	}
 	ctx, cancel := context.WithCancel(c.Context())
 	system, err := launcher.Start(ctx, launcher.Options{
 		Entries:     x.System.Entries,
 		Agents:      x.System.Agents,
 		Slots:       x.System.Slots,
-		BaseFile:    l.base(&x),
+		BaseFile:    l.basePath(&x),
 		Limits:      entryLimits(),
 		AgentLimits: agentLimits(),
 		Logger:      newLogger("error"),
@@ -158,17 +158,17 @@
 	return loader.Run(ctx, x, loader.EmbeddedTarget(system, &x), progress)
 }
 
-// base returns the name of the base configuration, which the experiment names
-// as seen from its own file.
-func (l *loadFlags) base(x *loader.Experiment) string {
+// basePath returns the path of the base configuration. The experiment gives it
+// relative to its own file.
+func (l *loadFlags) basePath(x *loader.Experiment) string {
 	if x.System.Base == "" {
 		return ""
 	}
 	return filepath.Join(filepath.Dir(l.file), x.System.Base)
 }
 
-// running returns the target for a system that runs already.
-func (l *loadFlags) running(x *loader.Experiment) loader.Target {
+// runningTarget returns the target for a system that is already running.
+func (l *loadFlags) runningTarget(x *loader.Experiment) loader.Target {
 	t := loader.Target{Entries: l.entries, Slots: l.slots, Token: l.token}
 	if t.Slots == 0 {
 		t.Slots = x.System.Agents * x.System.Slots
@@ -196,7 +196,7 @@
 		return err
 	}
 	if !r.Valid() {
-		return errors.New("a check is violated or an arrival was not sent")
+		return errors.New("a check is violated or a job could not be sent")
 	}
 	return nil
 }
--- a/cmd/sardinelock/cmd/metrics_test.go
+++ b/cmd/sardinelock/cmd/metrics_test.go
@@ -19,13 +19,13 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// metricsFile lists the metrics that a running system exports, one a line with its
-// labels. .ci/alarms checks the alarms against it.
+// metricsFile lists the metrics that a running system exports, one per line, each with
+// its labels. .ci/alarms checks the alarms against it.
 const metricsFile = "testdata/metrics.txt"
 
-// TestMetricsAreListed runs a system with TLS, complete and failed jobs and a
-// platform that is down for a while, and compares what its processes export with
-// the list and with the operators' page.
+// TestMetricsAreListed runs a system with TLS, complete and failed jobs and then a
+// platform that is down. It compares the exported metrics with metricsFile, and checks
+// that the operators' page documents each of them.
 func TestMetricsAreListed(t *testing.T) {
 	cert, err := certifier.New(issuer.New(t).Issue(t.TempDir(), time.Now().Add(time.Hour)))
 	if err != nil {
@@ -63,7 +63,7 @@
 	page := strings.Join(readLines(t, "../../../docs/ADMIN.md"), "\n")
 	for _, line := range got {
 		name, _, _ := strings.Cut(line, " ")
-		if name = histogramPart.ReplaceAllString(name, ""); !strings.Contains(page, "`"+name+"`") {
+		if name = histogramSuffix.ReplaceAllString(name, ""); !strings.Contains(page, "`"+name+"`") {
 			t.Errorf("docs/ADMIN.md lacks the metric %s", name)
 		}
 	}
@@ -79,19 +79,19 @@
 }
 
 var (
-	sample        = regexp.MustCompile(`(?m)^([a-z_]+)(?:\{(.*)\})? \S+$`)
-	sampleLabel   = regexp.MustCompile(`([a-z_]+)="(?:[^"\\]|\\.)*"`)
-	histogramPart = regexp.MustCompile(`_(bucket|sum|count)$`)
+	samplePattern   = regexp.MustCompile(`(?m)^([a-z_]+)(?:\{(.*)\})? \S+$`)
+	labelPattern    = regexp.MustCompile(`([a-z_]+)="(?:[^"\\]|\\.)*"`)
+	histogramSuffix = regexp.MustCompile(`_(bucket|sum|count)$`)
 )
 
-// exported returns the metrics at all addresses with their labels, sorted, but for
-// those that the exporter adds by itself.
+// exported returns the sorted metrics of all addresses, each with its labels. It leaves
+// out the metrics and labels that the exporter itself adds.
 func exported(t *testing.T, client *http.Client, urls []string) []string {
 	labels := make(map[string][]string)
 	for _, url := range urls {
-		for _, m := range sample.FindAllStringSubmatch(scrapeText(t, client, url), -1) {
+		for _, m := range samplePattern.FindAllStringSubmatch(scrapeText(t, client, url), -1) {
 			names := labels[m[1]]
-			for _, l := range sampleLabel.FindAllStringSubmatch(m[2], -1) {
+			for _, l := range labelPattern.FindAllStringSubmatch(m[2], -1) {
 				if !strings.HasPrefix(l[1], "otel_scope_") && !slices.Contains(names, l[1]) {
 					names = append(names, l[1])
 				}
--- a/cmd/sardinelock/cmd/notice_test.go
+++ b/cmd/sardinelock/cmd/notice_test.go
@@ -11,9 +11,10 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// TestNoticeOfShutdown lets an entry get SIGTERM. A balancer must be able to see
-// that it drains, and what the balancer still sends must be answered, until the
-// notice has passed. The notice is longer than the test, which kills the entry.
+// TestNoticeOfShutdown sends SIGTERM to an entry. Until the drain notice has passed,
+// /readyz must show a balancer that the entry drains, and requests that the balancer
+// still sends must be answered. The notice is longer than the test, which kills the
+// entry.
 func TestNoticeOfShutdown(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -25,7 +26,7 @@
 	f.awaitService(0)
 	f.awaitService(1)
 	drained.signal(syscall.SIGTERM)
-	drained.await(`"event":"draining"`)
+	drained.awaitLog(`"event":"draining"`)
 
 	if code := statusOf(t, f.admins[1], "/readyz"); code != http.StatusServiceUnavailable {
 		t.Errorf("/readyz answers %d, want 503", code)
@@ -44,8 +45,8 @@
 	}
 }
 
-// await waits until the process has logged a text.
-func (p *process) await(text string) {
+// awaitLog waits until the process has logged a text.
+func (p *process) awaitLog(text string) {
 	p.t.Helper()
 	for end := time.Now().Add(conditionTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if strings.Contains(p.stderr.String(), text) {
--- a/cmd/sardinelock/cmd/origin_test.go
+++ b/cmd/sardinelock/cmd/origin_test.go
@@ -7,9 +7,9 @@
 	"sardinelock.dev/sardinelock/internal/launcher"
 )
 
-// TestPagesOfOthersMakeNoChange sends changes as a page of another site in an
-// operator's browser would: none may be made, also while no operator has a token and
-// the browser runs on the same machine.
+// TestPagesOfOthersMakeNoChange sends changes like a page of another site in an
+// operator's browser (cross-site request forgery). They must be rejected even if no
+// operator has a token and the browser runs on the same machine.
 func TestPagesOfOthersMakeNoChange(t *testing.T) {
 	system := newSystem(t, launcher.Options{Entries: 1, Agents: 1})
 	url := "http://" + system.AdminAddrs()[0].String() + "/v1/admin/upstreams/agent-0/drain"
--- a/cmd/sardinelock/cmd/output.go
+++ b/cmd/sardinelock/cmd/output.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/pflag"
 )
 
-// outputFormat is how a listing is printed.
+// outputFormat is the format in which a listing is printed.
 type outputFormat string
 
 // The formats of listings.
@@ -22,17 +22,18 @@
 	outputHTML  outputFormat = "html"
 )
 
-// outputFlag is the flag --output.
+// outputFlag is the value of the flag --output.
 type outputFlag struct {
 	format  outputFormat
-	formats []outputFormat // formats are those that the command can print.
+	formats []outputFormat // formats that the command supports
 }
 
-// register adds the flag; more are formats besides a table and JSON.
+// register adds the flag. Every command supports a table and JSON; more lists its
+// further formats.
 func (o *outputFlag) register(f *pflag.FlagSet, more ...outputFormat) {
 	o.format = outputTable
 	o.formats = append([]outputFormat{outputTable, outputJSON}, more...)
-	f.Var(o, "output", "form of the output: "+o.choices())
+	f.Var(o, "output", "output format: "+o.choices())
 }
 
 func (o *outputFlag) choices() string {
--- a/cmd/sardinelock/cmd/pages_test.go
+++ b/cmd/sardinelock/cmd/pages_test.go
@@ -14,40 +14,41 @@
 	"sardinelock.dev/sardinelock/internal/launcher"
 )
 
-// shown is a command on a page, with the line below it that heads its output.
-type shown struct {
+// documentedCommand is a command on a documentation page, with the table heading of
+// its output.
+type documentedCommand struct {
 	page    string
 	args    []string
-	heading []string // heading is nil if the output is no table.
+	heading []string // nil if the output is not a table
 }
 
 var (
-	shownCommand = regexp.MustCompile(`^    \$ sardinelock (.*)$`)
-	tableHeading = regexp.MustCompile(`^    ([A-Z][A-Z0-9-]*)( +[A-Z0-9][A-Z0-9-]*)+$`)
+	commandPattern = regexp.MustCompile(`^    \$ sardinelock (.*)$`)
+	headingPattern = regexp.MustCompile(`^    ([A-Z][A-Z0-9-]*)( +[A-Z0-9][A-Z0-9-]*)+$`)
 )
 
-// shownCommands returns the commands of all pages.
-func shownCommands(t *testing.T) []shown {
+// documentedCommands returns the commands of all documentation pages.
+func documentedCommands(t *testing.T) []documentedCommand {
 	t.Helper()
 	pages, err := filepath.Glob("../../../docs/*.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var out []shown
+	var out []documentedCommand
 	for _, page := range append(pages, "../../../README.md") {
 		lines := readLines(t, page)
 		for i, line := range lines {
-			m := shownCommand.FindStringSubmatch(line)
+			m := commandPattern.FindStringSubmatch(line)
 			if m == nil {
 				continue
 			}
 			command, _, _ := strings.Cut(m[1], "|")
-			s := shown{page: filepath.Base(page), args: strings.Fields(command)}
+			s := documentedCommand{page: filepath.Base(page), args: strings.Fields(command)}
 			for _, below := range lines[i+1:] {
 				if !strings.HasPrefix(below, "    ") || strings.HasPrefix(below, "    $") {
 					break
 				}
-				if tableHeading.MatchString(below) {
+				if headingPattern.MatchString(below) {
 					s.heading = strings.Fields(below)
 					break
 				}
@@ -58,27 +59,27 @@
 	return out
 }
 
-var shownFlag = regexp.MustCompile(`^--([a-z][a-z-]*)`)
+var flagPattern = regexp.MustCompile(`^--([a-z][a-z-]*)`)
 
-// TestPagesShowTheCommands looks at every command on the operators' pages: it must
-// be one that there is, with flags that it has, and the heading of its output must
-// be what it prints now.
-func TestPagesShowTheCommands(t *testing.T) {
+// TestDocumentedCommands checks every command on the documentation pages: the command
+// and its flags must exist, and the documented table heading must be the one that it
+// prints.
+func TestDocumentedCommands(t *testing.T) {
 	system := newSystem(t, launcher.Options{Entries: 1, Agents: 1})
 	admin := system.AdminAddrs()[0].String()
 	headings := 0
-	for _, s := range shownCommands(t) {
+	for _, s := range documentedCommands(t) {
 		c, rest, err := newRoot().Find(s.args)
 		if err != nil || c.HasSubCommands() && !c.Runnable() {
 			t.Errorf("%s: sardinelock %s: %v", s.page, strings.Join(s.args, " "), err)
 			continue
 		}
 		for _, arg := range rest {
-			if m := shownFlag.FindStringSubmatch(arg); m != nil && c.Flags().Lookup(m[1]) == nil {
+			if m := flagPattern.FindStringSubmatch(arg); m != nil && c.Flags().Lookup(m[1]) == nil {
 				t.Errorf("%s: %s has no flag --%s", s.page, c.CommandPath(), m[1])
 			}
 		}
-		if s.heading == nil || !listed.MatchString(c.Name()) || slices.Contains([]string{"show", "diff"}, c.Name()) {
+		if s.heading == nil || !listingName.MatchString(c.Name()) || slices.Contains([]string{"show", "diff"}, c.Name()) {
 			continue
 		}
 		headings++
@@ -91,11 +92,11 @@
 		}
 	}
 	if headings < 10 {
-		t.Errorf("%d headings were compared; the pages are not read well", headings)
+		t.Errorf("only %d headings were compared; the commands on the pages are not recognized", headings)
 	}
 }
 
-// headingOf returns the columns that a command prints.
+// headingOf runs a command and returns the column headings that it prints.
 func headingOf(t *testing.T, args []string) []string {
 	t.Helper()
 	var out bytes.Buffer
--- a/cmd/sardinelock/cmd/partition.go
+++ b/cmd/sardinelock/cmd/partition.go
@@ -5,7 +5,7 @@
 func newPartitionCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "partition",
-		Short: "Look at partitions",
+		Short: "Show partitions",
 		Args:  cobra.NoArgs,
 	}
 	c.AddCommand(newPartitionListCommand())
--- a/cmd/sardinelock/cmd/partition_list.go
+++ b/cmd/sardinelock/cmd/partition_list.go
@@ -16,9 +16,9 @@
 		Short: "List partitions with their owners",
 		Long: `List partitions with their owners.
 
-LEASE-LEFT is how long the owner may start tasks without hearing from agents.
-UNCERTAIN-BEFORE is the time before which submission ids were made whose jobs
-the owner cannot decide after a takeover.`,
+LEASE-LEFT is how long the owner may still start tasks without a message from its
+agents. UNCERTAIN-BEFORE is a time: after a takeover, the owner cannot tell whether
+jobs whose submission ids were generated before it have run.`,
 		Example: `  sardinelock partition list --admin 127.0.0.1:7402`,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/sardinelock/cmd/platform.go
+++ b/cmd/sardinelock/cmd/platform.go
@@ -29,11 +29,11 @@
 		Short: short,
 		Long: short + `.
 
-The settings come from the file that the platform names in the environment.`,
+The settings are read from the file that the platform names in the environment.`,
 		Example: "  sardinelock platform " + role + " --log-level info",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := usageFaults(levelFaults(logLevel)); err != nil {
+			if err := usageErrors(validateLogLevel(logLevel)); err != nil {
 				return err
 			}
 			s, err := platform.ReadSettings()
@@ -46,10 +46,10 @@
 			return run(c.Context(), s, logLevel)
 		},
 	}
-	c.Flags().StringVar(&logLevel, "log-level", "info", "lowest level that is logged: debug, info, warn or error")
-	c.Flags().Uint16Var(&metricsPort, "metrics-port", defaultMetricsPort, "port that serves the metrics at /metrics; 0 serves none")
+	c.Flags().StringVar(&logLevel, "log-level", "info", "minimum log level: debug, info, warn or error")
+	c.Flags().Uint16Var(&metricsPort, "metrics-port", defaultMetricsPort, "port on which /metrics is served; 0 disables it")
 	return c
 }
 
-// defaultMetricsPort is the usual port of OpenTelemetry's Prometheus exporters.
+// defaultMetricsPort is the default port of OpenTelemetry's Prometheus exporters.
 const defaultMetricsPort = 9464
--- a/cmd/sardinelock/cmd/process_test.go
+++ b/cmd/sardinelock/cmd/process_test.go
@@ -21,8 +21,8 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// conditionTimeout bounds the wait for a condition; no verdict depends on how
-// much sooner it holds.
+// conditionTimeout is the limit for waiting for a condition. No test result depends on
+// how much earlier the condition holds.
 const conditionTimeout = 60 * time.Second
 
 const testBase = `
@@ -49,11 +49,11 @@
 	return name, nil
 })
 
-// process is one program of a test. It is killed at the end of the test.
+// process is a running process of the program. It is killed at the end of the test.
 type process struct {
 	t      *testing.T
 	cmd    *exec.Cmd
-	ready  chan map[string]string // ready receives the line with the event "ready".
+	ready  chan map[string]string // receives the fields of the log line with the event "ready"
 	exited chan struct{}
 	stdout *lockedBuffer
 	stderr *lockedBuffer
@@ -118,7 +118,7 @@
 	<-p.exited
 }
 
-// lockedBuffer is a buffer that a process writes while a test reads.
+// lockedBuffer is a buffer that a process writes to while a test reads it.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -144,11 +144,11 @@
 	callers    []netip.AddrPort
 	admins     []netip.AddrPort
 	agents     []*process
-	agentAddrs []string // agentAddrs is where the agents accept announcements.
+	agentAddrs []string // addresses at which the agents accept announcements
 	upstreams  []*process
 }
 
-// newFleet starts a fleet that has only the platform, with a configuration.
+// newFleet starts a fleet that consists only of the platform, with a configuration.
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
 	f := &fleet{t: t}
@@ -174,7 +174,7 @@
 	return f
 }
 
-// startEntry starts one more entry and returns its address for peers.
+// startEntry starts another entry and returns its peer address.
 func (f *fleet) startEntry(flags ...string) string {
 	f.t.Helper()
 	p, line := startProcess(f.t, append([]string{"entry", "--platform", f.platform.String(),
@@ -185,7 +185,7 @@
 	return line["peer-address"]
 }
 
-// startAgent starts one more agent with its upstream.
+// startAgent starts another agent with its upstream.
 func (f *fleet) startAgent(peers string, flags ...string) {
 	f.t.Helper()
 	a, line := startProcess(f.t, append([]string{"agent", "--entry", peers, "--listen", "127.0.0.1:0"}, flags...)...)
@@ -200,7 +200,7 @@
 	f.upstreams = append(f.upstreams, u)
 }
 
-// applyConfig makes the test's base file the first version.
+// applyConfig applies testBase as the first version of the configuration.
 func (f *fleet) applyConfig() {
 	f.t.Helper()
 	program, err := buildProgram()
@@ -217,13 +217,13 @@
 	}
 }
 
-// awaitService waits until the entry completes a row of jobs whose ids fall into
-// partitions of every owner.
+// awaitService waits until the entry has completed many jobs in a row, so that their
+// random ids very likely fall into partitions of every owner.
 func (f *fleet) awaitService(entry int) {
 	f.t.Helper()
-	const row = 24
+	const streak = 24
 	deadline := time.Now().Add(conditionTimeout)
-	for served := 0; served < row; served++ {
+	for served := 0; served < streak; served++ {
 		if time.Now().After(deadline) {
 			f.t.Fatalf("entry %d does not serve: %s", entry, f.entries[entry].stderr.String())
 		}
@@ -235,7 +235,8 @@
 	}
 }
 
-// client returns a client of one entry that does not try again by itself.
+// client returns a client of one entry. Without keep-alives it makes no automatic
+// retries.
 func (f *fleet) client(entry int) *submitter.Client {
 	return submitter.New(submitter.Options{
 		Entries: []netip.AddrPort{f.callers[entry]},
@@ -243,7 +244,7 @@
 	})
 }
 
-// job returns a job whose tasks all take the same time.
+// job returns a job whose tasks all have the same run time.
 func job(tasks int, runTime, deadline time.Duration) submitter.Job {
 	j := submitter.Job{Deadline: submitter.Duration(deadline)}
 	for range tasks {
@@ -255,7 +256,7 @@
 	return j
 }
 
-// starts returns how often each task of a submission was started at any upstream.
+// starts returns the number of starts of each task of a submission over all upstreams.
 func (f *fleet) starts(submission string) map[string]int {
 	out := make(map[string]int)
 	for _, u := range f.upstreams {
@@ -264,7 +265,7 @@
 	return out
 }
 
-// busiest returns the index of the agent whose upstream started most tasks of a
+// busiest returns the index of the agent whose upstream started the most tasks of a
 // submission.
 func (f *fleet) busiest(submission string) int {
 	best, most := 0, 0
@@ -277,7 +278,7 @@
 	return best
 }
 
-// countStarts adds the starts that an upstream has logged, by task.
+// countStarts adds the logged starts of a submission to out, by task.
 func (p *process) countStarts(submission string, out map[string]int) {
 	p.eachStart(func(id string, task int) {
 		if id == submission {
@@ -286,7 +287,7 @@
 	})
 }
 
-// eachStart passes on every start that an upstream has logged.
+// eachStart calls f for every start that an upstream has logged.
 func (p *process) eachStart(f func(submission string, task int)) {
 	lines := bufio.NewScanner(bytes.NewReader([]byte(p.stdout.String())))
 	for lines.Scan() {
@@ -313,8 +314,8 @@
 	}
 }
 
-// stopUpstreams ends the upstreams, so that every start that they logged has been
-// read: what they write arrives later than the answers of their tasks.
+// stopUpstreams terminates the upstreams and waits until their whole output has been
+// read: a logged start can arrive later than the answer of its task.
 func (f *fleet) stopUpstreams() {
 	f.t.Helper()
 	for _, u := range f.upstreams {
@@ -340,8 +341,8 @@
 	}
 }
 
-// checkAllOnce fails the test if any task started twice, and reads each log once.
-// The upstreams must be stopped.
+// checkAllOnce fails the test if any task of any submission started twice. It reads
+// each log only once. The upstreams must be stopped.
 func (f *fleet) checkAllOnce() {
 	f.t.Helper()
 	counts := make(map[string]int)
@@ -355,8 +356,8 @@
 	}
 }
 
-// submitAsync submits a job through one entry and returns the answer's channel.
-// An error counts as an unknown outcome.
+// submitAsync submits a job through one entry and returns a channel that receives the
+// answer. An error is turned into the outcome "unknown".
 func (f *fleet) submitAsync(entry int, id string, j submitter.Job) <-chan submitter.Answer {
 	out := make(chan submitter.Answer, 1)
 	go func() {
--- a/cmd/sardinelock/cmd/region_test.go
+++ b/cmd/sardinelock/cmd/region_test.go
@@ -9,7 +9,8 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// The regions of a fleet of two regions. Partitions take turns in this order.
+// The regions of a fleet of two regions. Partitions are assigned to them alternately
+// in this order.
 const (
 	east = iota
 	west
@@ -22,13 +23,13 @@
 // the order of the regions.
 type regionFleet struct {
 	*fleet
-	maker identifier.Generator
-	peers [regions]string // peers has where the last entry of each region accepts peers.
+	ids   identifier.Generator
+	peers [regions]string // peer address of the last entry of each region
 }
 
 func startRegions(t *testing.T) *regionFleet {
 	t.Helper()
-	f := &regionFleet{fleet: newFleet(t), maker: identifier.Generator{Random: rand.NewChaCha8([32]byte{7})}}
+	f := &regionFleet{fleet: newFleet(t), ids: identifier.Generator{Random: rand.NewChaCha8([32]byte{7})}}
 	for region := range regions {
 		for range 2 {
 			f.peers[region] = f.startEntryIn(region)
@@ -50,9 +51,9 @@
 	return f.startEntry(append(flags, "--region", regionNames[region], "--regions", "east,west")...)
 }
 
-// newID returns an id of a region.
+// newID returns a submission id whose partition belongs to a region.
 func (f *regionFleet) newID(region int) string {
-	id, ok := f.maker.NewIn(time.Now(), func(p identifier.Partition) bool { return int(p)%regions == region })
+	id, ok := f.ids.NewIn(time.Now(), func(p identifier.Partition) bool { return int(p)%regions == region })
 	if !ok {
 		f.t.Fatal("no id of the region was found")
 	}
@@ -63,7 +64,7 @@
 // tasks, each once and all in one region. The upstreams must be stopped.
 func (f *regionFleet) checkStarts(submission string, region, tasks int) {
 	f.t.Helper()
-	// What an upstream wrote may be read later than the answer.
+	// A logged start may be read later than the answer.
 	f.awaitStarts(submission, tasks)
 	f.checkOnce(submission)
 	if n := len(f.starts(submission)); n != tasks {
@@ -85,8 +86,9 @@
 	}
 }
 
-// askUntilReached submits a job until its region is reached, and returns the answer.
-func (f *regionFleet) askUntilReached(entry int, id string, j submitter.Job) submitter.Answer {
+// submitUntilReached submits a job repeatedly until its region can be reached, and
+// returns the answer.
+func (f *regionFleet) submitUntilReached(entry int, id string, j submitter.Job) submitter.Answer {
 	f.t.Helper()
 	deadline := time.Now().Add(conditionTimeout)
 	for {
@@ -98,9 +100,10 @@
 	}
 }
 
-// A job that is submitted in one region and belongs to the other runs there. When
-// the entries of the other region die, what belongs to it is answered unknown and
-// starts nothing, while the own region goes on.
+// TestTwoRegions checks that a job that is submitted in one region and belongs to the
+// other runs in the region that it belongs to. After the entries of that region are
+// killed, its jobs are answered "unknown" and start nothing, while jobs of the other
+// region still complete.
 func TestTwoRegions(t *testing.T) {
 	t.Parallel()
 	const tasks = 6
@@ -123,9 +126,9 @@
 	again := f.newID(east)
 	f.checkAnswer("own region, alone", <-f.submitAsync(1, again, short), submitter.OutcomeComplete, "")
 
-	// The agents look for their entries where these were.
+	// The agents reconnect to the former addresses of their entries.
 	f.startEntryIn(west, "--peer-listen", f.peers[west])
-	f.checkAnswer("job that ran on", f.askUntilReached(1, running, long), submitter.OutcomeComplete, "")
+	f.checkAnswer("job that ran on", f.submitUntilReached(1, running, long), submitter.OutcomeComplete, "")
 	f.awaitService(4)
 	f.checkAnswer("id from before the takeover", <-f.submitAsync(1, late, short), submitter.OutcomeNotRun, submitter.ReasonOwnerChanged)
 
--- a/cmd/sardinelock/cmd/report.go
+++ b/cmd/sardinelock/cmd/report.go
@@ -5,7 +5,7 @@
 func newReportCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "report",
-		Short: "Report on what the system has done",
+		Short: "Report on the past work of the system",
 		Args:  cobra.NoArgs,
 	}
 	c.AddCommand(newReportBurnCommand())
--- a/cmd/sardinelock/cmd/report_burn.go
+++ b/cmd/sardinelock/cmd/report_burn.go
@@ -20,14 +20,14 @@
 	)
 	c := &cobra.Command{
 		Use:   "burn",
-		Short: "Report how fast services use up their error budgets",
-		Long: `Report how fast services use up their error budgets, the fastest first.
+		Short: "Report the burn rates of the services' error budgets",
+		Long: `Report the burn rates of the services' error budgets, the highest first.
 
-A burn rate of 1 uses up the budget in just its window. The level is "page" if
-the rate is over 14.4 in both 5 minutes and 1 hour, and "ticket" if it is over 6
-in both 30 minutes and 6 hours; either needs as many bad jobs in the shorter window
-as the objective's min-bad-jobs. BUDGET-LEFT and CAUSES are counted over --window.
-What the report lacks is printed on standard error.`,
+A burn rate of 1 consumes the budget in exactly its window. The level is "page" if
+the rate is above 14.4 over both 5 minutes and 1 hour, and "ticket" if it is above 6
+over both 30 minutes and 6 hours. Both levels also require at least min-bad-jobs of
+the objective in the shorter window. BUDGET-LEFT and CAUSES are counted over
+--window. Data that is missing from the report is listed on standard error.`,
 		Example: `  sardinelock report burn --admin 127.0.0.1:7402
   sardinelock report burn --admin 127.0.0.1:7402 --service quote --window 6h
   sardinelock report burn --admin 127.0.0.1:7402 --output html > burn.html`,
@@ -58,8 +58,8 @@
 	}
 	f := c.Flags()
 	admin.register(f, outputHTML)
-	f.StringVar(&service, "service", "", "report on one service only")
-	f.DurationVar(&window, "window", reporter.MaxWindow, "span over which budgets and causes are counted")
+	f.StringVar(&service, "service", "", "report only on this service")
+	f.DurationVar(&window, "window", reporter.MaxWindow, "time window over which budgets and causes are counted")
 	return c
 }
 
--- a/cmd/sardinelock/cmd/root.go
+++ b/cmd/sardinelock/cmd/root.go
@@ -1,7 +1,8 @@
-// Package cmd has the subcommands of sardinelock, one file each.
+// Package cmd implements the subcommands of sardinelock, one file each.
 //
-// Every flag can be set by an environment variable as well: SARDINELOCK_ and the
-// flag's name in capitals with underscores. A flag goes before its variable.
+// Every flag can also be set by an environment variable, whose name is SARDINELOCK_
+// followed by the flag's name in capitals with underscores. A flag on the command
+// line takes precedence over its variable.
 package cmd
 
 import (
@@ -43,13 +44,13 @@
 	if errors.As(err, &outcome) {
 		return outcome.exitCode()
 	}
-	var exit *codedError
+	var exit *exitCodeError
 	if errors.As(err, &exit) {
 		return exit.code
 	}
 	fmt.Fprintln(root.ErrOrStderr(), "sardinelock:", err)
 	var usage *usageError
-	if errors.As(err, &usage) || !commandRan(root) {
+	if errors.As(err, &usage) || !argumentsParsed(root) {
 		return exitUsage
 	}
 	return exitError
@@ -63,7 +64,7 @@
 		SilenceUsage:  true,
 		Args:          cobra.NoArgs,
 		PersistentPreRunE: func(c *cobra.Command, _ []string) error {
-			c.Root().Annotations = map[string]string{ranAnnotation: "true"}
+			c.Root().Annotations = map[string]string{argumentsParsedAnnotation: "true"}
 			return applyEnvironment(c)
 		},
 	}
@@ -90,8 +91,8 @@
 	return root
 }
 
-// refuseUnknown makes an unknown subcommand of a group an error; without it the
-// group would print its help and succeed.
+// refuseUnknown makes unknown subcommands of command groups an error. By default a
+// group prints its help and succeeds.
 func refuseUnknown(c *cobra.Command) {
 	for _, sub := range c.Commands() {
 		refuseUnknown(sub)
@@ -108,10 +109,13 @@
 	}
 }
 
-// ranAnnotation marks a root whose arguments were parsed without error.
-const ranAnnotation = "arguments-parsed"
+// argumentsParsedAnnotation marks a root command whose arguments were parsed without
+// error.
+const argumentsParsedAnnotation = "arguments-parsed"
 
-func commandRan(root *cobra.Command) bool { return root.Annotations[ranAnnotation] != "" }
+func argumentsParsed(root *cobra.Command) bool {
+	return root.Annotations[argumentsParsedAnnotation] != ""
+}
 
 // usageError is an error in flags or arguments.
 type usageError struct{ err error }
@@ -119,18 +123,18 @@
 func (e *usageError) Error() string { return e.err.Error() }
 func (e *usageError) Unwrap() error { return e.err }
 
-// codedError makes the command exit with a code. What it means has been printed
-// before.
-type codedError struct {
+// exitCodeError makes the command exit with a code without printing the error: the
+// command has already printed the reason.
+type exitCodeError struct {
 	code int
 	err  error
 }
 
-func (e *codedError) Error() string { return e.err.Error() }
-func (e *codedError) Unwrap() error { return e.err }
+func (e *exitCodeError) Error() string { return e.err.Error() }
+func (e *exitCodeError) Unwrap() error { return e.err }
 
-// outcomeError makes the command exit with the code of an outcome. The answer has
-// been printed before.
+// outcomeError makes the command exit with the code of a job's outcome without
+// printing the error: the command has already printed the answer.
 type outcomeError struct{ outcome submitter.Outcome }
 
 func (e *outcomeError) Error() string { return "the job is " + string(e.outcome) }
--- a/cmd/sardinelock/cmd/roster.go
+++ b/cmd/sardinelock/cmd/roster.go
@@ -5,7 +5,7 @@
 func newRosterCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "roster",
-		Short: "Look at the rosters of agents and declare agents dead",
+		Short: "Show the rosters of agents and declare agents dead",
 		Args:  cobra.NoArgs,
 	}
 	c.AddCommand(newRosterListCommand(), newRosterDeclareDeadCommand())
--- a/cmd/sardinelock/cmd/roster_declare_dead.go
+++ b/cmd/sardinelock/cmd/roster_declare_dead.go
@@ -16,35 +16,37 @@
 	)
 	c := &cobra.Command{
 		Use:   "declare-dead AGENT...",
-		Short: "Declare that agents have ended and will not come back",
-		Long: `Declare that agents have ended and will not come back, so that partitions whose
-owner died together with a majority of the witnesses get a new owner. Needed only
-if "roster list" shows partitions in FENCING.
-
-Make sure first that the processes have ended: look at their machines, or cut
-their power. The partitions become active a lease after the declaration. What only
-these agents knew is answered "unknown" until the deduplication window has passed.
-
-WARNING. If you declare a majority of the witnesses dead, and they and the former
-owner run on, connected to each other and to nobody else, then both owners run the
-jobs that callers bring to both: a task may start twice. In every other case a wrong
-declaration starts nothing twice: an agent that reaches any entry learns of it,
-starts nothing any more, and must be restarted.
-
---expect-version is the VERSION of "roster list" that you have seen; if the roster
-has changed since, nothing is done. An agent that some entry is connected to is
-not declared dead.`,
+		Short: "Declare that agents have terminated for good",
+		Long: `Declare that agents have terminated and will not return, so that partitions whose
+owner died together with a majority of the witnesses get a new owner. This is needed
+only if "roster list" shows partitions in FENCING.
+
+First make sure that the processes have terminated: check their machines, or cut
+their power. The partitions become active one lease duration after the declaration.
+Jobs of which only these agents had records are answered "unknown" until the
+deduplication window has passed.
+
+WARNING. Suppose that you declare a majority of the witnesses dead although they and
+the former owner are still running, connected to each other and to nobody else. Then
+jobs that callers submit to both the former and the new owner run at both owners:
+a task may start twice. In every other case a wrong declaration starts no task twice:
+an agent that reaches any entry learns of the declaration, stops starting tasks, and
+must be restarted.
+
+--expect-version is the VERSION that "roster list" has shown you. If the roster has
+changed since then, the command is refused. It is also refused for an agent that is
+connected to some entry.`,
 		Example: `  sardinelock roster declare-dead agent-1 agent-4 --expect-version 17 --admin 127.0.0.1:7402`,
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, agents []string) error {
 			if !c.Flags().Changed("expect-version") {
-				return usageFaults([]string{"--expect-version must be set"})
+				return usageErrors([]string{"--expect-version must be set"})
 			}
 			return declareDead(c, &change, agents, expect)
 		},
 	}
 	change.register(c.Flags())
-	c.Flags().Uint64Var(&expect, "expect-version", 0, "version of the roster as you have seen it")
+	c.Flags().Uint64Var(&expect, "expect-version", 0, "version of the roster that you expect to be current")
 	return c
 }
 
--- a/cmd/sardinelock/cmd/roster_list.go
+++ b/cmd/sardinelock/cmd/roster_list.go
@@ -13,15 +13,15 @@
 	var admin adminFlags
 	c := &cobra.Command{
 		Use:   "list",
-		Short: "List the agents of the rosters and what partitions wait for",
-		Long: `List the agents of the rosters and what partitions wait for.
+		Short: "List the agents of the rosters and the partitions that wait for them",
+		Long: `List the agents of the rosters and the partitions that wait for them.
 
-WITNESS says whether leases rest on the agent; "previous" means that some entry
-may still rely on it. FENCING is the number of partitions without an active owner
-that wait, among others, for the agent: it must answer or be declared dead.
-RECORDS is the number of partitions whose owner lacks the agent's records, so
-that older submissions are answered "unknown". HEIR has the records of an agent
-that left in good order.`,
+WITNESS shows whether the agent is a witness of leases; "previous" means that it was
+one and that some entry may still rely on it. FENCING is the number of partitions
+without an active owner that wait for the agent, possibly among others: the agent
+must answer or be declared dead. RECORDS is the number of partitions whose owner
+lacks the agent's records and therefore answers older submissions "unknown". HEIR is
+the agent that holds the records of an agent that has left after a clean shutdown.`,
 		Example: `  sardinelock roster list --admin 127.0.0.1:7402`,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/sardinelock/cmd/script_test.go
+++ b/cmd/sardinelock/cmd/script_test.go
@@ -31,7 +31,7 @@
 	})
 }
 
-// masks are the parts of an output that differ between runs.
+// masks match the parts of an output that differ between runs.
 var masks = []struct {
 	pattern *regexp.Regexp
 	text    string
@@ -42,8 +42,8 @@
 	{regexp.MustCompile(`(\d+m)?\d+(\.\d+)?m?s +`), "TIME "},
 }
 
-// mask copies standard input to standard output without what differs between
-// runs, so that a golden file can be compared with the rest.
+// mask copies standard input to standard output and replaces the parts that differ
+// between runs, so that the output can be compared with a golden file.
 func mask() {
 	text, err := io.ReadAll(os.Stdin)
 	if err != nil {
@@ -55,9 +55,9 @@
 	_, _ = os.Stdout.Write(text)
 }
 
-// startPlatform is the command "platform [down] [lose-answer-ratio]": it starts a
-// stand-in for the platform for the rest of the script and sets its address in
-// the environment.
+// startPlatform implements the script command "platform [down] [LOSE-ANSWER-RATIO]". It
+// starts a stand-in for the platform that runs until the end of the script, and sets
+// SARDINELOCK_PLATFORM to its address.
 func startPlatform(ts *testscript.TestScript, _ bool, args []string) {
 	var faults emulator.Faults
 	for _, arg := range args {
--- a/cmd/sardinelock/cmd/secret_test.go
+++ b/cmd/sardinelock/cmd/secret_test.go
@@ -20,7 +20,7 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// transcript gathers what a system has written, from any goroutine.
+// transcript collects the output of a system. It can be written concurrently.
 type transcript struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -38,9 +38,9 @@
 	return s.text.String()
 }
 
-// TestSecrets runs a system with TLS and tokens, presents good, bad and misplaced
-// tokens everywhere, breaks a renewal of the certificate, and looks for tokens,
-// hashes and keys in all logs at the lowest level, answers, errors and metrics.
+// TestSecrets checks that logs, answers, errors and metrics contain no tokens, hashes
+// or keys. It runs a system with TLS and tokens that logs at trace level, sends good,
+// bad and misplaced tokens to many paths, and lets the renewal of a certificate fail.
 func TestSecrets(t *testing.T) {
 	const good, bad, operator = "good-token-7f3a", "bad-token-91bc", "operator-token-c05d"
 	files := issuer.New(t).Issue(t.TempDir(), time.Now().Add(time.Hour))
@@ -68,11 +68,11 @@
 	options.Token = bad
 	_, err = submitter.New(options).Submit(t.Context(), "quote", "", submitter.Job{})
 	if submitter.KindOf(err) != submitter.KindRejected {
-		t.Errorf("the wrong token led to %v", err)
+		t.Errorf("the wrong token led to the error %v, want a rejection", err)
 	}
 	_, _ = io.WriteString(out, err.Error())
-	probe(t, out, system, cert.HTTPClient(), good, bad, operator)
-	breakRenewal(t, out, cert, files, key)
+	sendTokens(t, out, system, cert.HTTPClient(), good, bad, operator)
+	reloadTruncatedKey(t, out, cert, files, key)
 
 	lines := strings.Split(strings.TrimSpace(string(key)), "\n")
 	for name, secret := range map[string]string{
@@ -85,16 +85,17 @@
 		"key":          lines[1],
 	} {
 		if i := strings.Index(out.String(), secret); i >= 0 {
-			t.Errorf("the %s is in: %s", name, excerpt(out.String(), i))
+			t.Errorf("the %s was leaked: %s", name, excerpt(out.String(), i))
 		}
 	}
 	if !strings.Contains(out.String(), "sardinelock_job_answers_total") {
-		t.Error("the scan has not seen the metrics")
+		t.Error("the collected output does not contain the metrics")
 	}
 }
 
-// probe sends both tokens to many paths in right and wrong places.
-func probe(t *testing.T, out io.Writer, system *launcher.System, client *http.Client, tokens ...string) {
+// sendTokens sends each token to many paths, in valid and invalid Authorization
+// headers.
+func sendTokens(t *testing.T, out io.Writer, system *launcher.System, client *http.Client, tokens ...string) {
 	t.Helper()
 	caller, admin := system.Entries[0].CallerAddr().String(), system.Entries[0].AdminAddr().String()
 	paths := []string{"/metrics", "/burn", "/readyz", "/healthz"}
@@ -112,7 +113,7 @@
 	}
 }
 
-// fetch writes the answer to a request, with its headers.
+// fetch sends a request and writes the answer, with its headers, to out.
 func fetch(t *testing.T, out io.Writer, client *http.Client, method, url, authorization string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, nil)
@@ -130,15 +131,16 @@
 	}
 }
 
-// breakRenewal writes half a key and reads the files again.
-func breakRenewal(t *testing.T, out io.Writer, cert *certifier.Certifier, files certifier.Files, key []byte) {
+// reloadTruncatedKey truncates the key file, reloads the files and writes the error to
+// out.
+func reloadTruncatedKey(t *testing.T, out io.Writer, cert *certifier.Certifier, files certifier.Files, key []byte) {
 	t.Helper()
 	if err := os.WriteFile(files.Key, key[:len(key)-20], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	_, err := cert.Reload()
 	if err == nil {
-		t.Error("half a key was taken")
+		t.Error("a truncated key was accepted")
 		return
 	}
 	_, _ = io.WriteString(out, err.Error())
--- a/cmd/sardinelock/cmd/service.go
+++ b/cmd/sardinelock/cmd/service.go
@@ -5,7 +5,7 @@
 func newServiceCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "service",
-		Short: "Look at services",
+		Short: "Show services",
 		Args:  cobra.NoArgs,
 	}
 	c.AddCommand(newServiceListCommand())
--- a/cmd/sardinelock/cmd/service_list.go
+++ b/cmd/sardinelock/cmd/service_list.go
@@ -13,7 +13,7 @@
 	var admin adminFlags
 	c := &cobra.Command{
 		Use:     "list",
-		Short:   "List services with their objectives and present work",
+		Short:   "List services with their objectives and current work",
 		Example: `  sardinelock service list --admin 127.0.0.1:7402`,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/sardinelock/cmd/settings.go
+++ b/cmd/sardinelock/cmd/settings.go
@@ -25,68 +25,68 @@
 	"sardinelock.dev/sardinelock/internal/timer"
 )
 
-// The defaults of limits that are no flags.
+// The values of limits that no flag sets.
 const (
-	dedupWindow     = 5 * time.Minute
-	maxJobBytes     = 512 << 20
-	maxAnswerBytes  = 512 << 20
-	abandonGrace    = 5 * time.Second
-	clockDifference = time.Second
-	maxRecordBytes  = 64 << 20
-	maxWaiting      = 1024
-	retainFor       = 30 * time.Second
-	retainBytes     = 8 << 20
-	lostAfter       = 2 * time.Second
-	maxReplacements = 16
-	startBudget     = 5 * time.Second
-	pollEvery       = time.Second
-	retryEvery      = 250 * time.Millisecond
-	lease           = 3 * time.Second
-	echoFor         = 250 * time.Millisecond
-	leaseMargin     = 100 * time.Millisecond
-	agentGoneAfter  = 30 * time.Second
-	witnessGone     = 5 * time.Second
-	witnesses       = 15
-	suspectAfter    = time.Second
-	pingEntries     = 250 * time.Millisecond
-	steadyAfter     = time.Second
-	answerSlack     = 50 * time.Millisecond
-	drainTimeout    = 30 * time.Second
-	// drainNotice lets a balancer that probes each second see two refusals; chosen.
+	dedupWindow               = 5 * time.Minute
+	maxJobBytes               = 512 << 20
+	maxAnswerBytes            = 512 << 20
+	abandonGrace              = 5 * time.Second
+	maxClockSkew              = time.Second
+	maxRecordBytes            = 64 << 20
+	maxWaiting                = 1024
+	retainFor                 = 30 * time.Second
+	retainBytes               = 8 << 20
+	agentLossTimeout          = 2 * time.Second
+	maxReschedules            = 16
+	startTimeout              = 5 * time.Second
+	pollInterval              = time.Second
+	retryInterval             = 250 * time.Millisecond
+	leaseDuration             = 3 * time.Second
+	maxEchoDelay              = 250 * time.Millisecond
+	leaseMargin               = 100 * time.Millisecond
+	unreachableTimeout        = 30 * time.Second
+	witnessUnreachableTimeout = 5 * time.Second
+	witnesses                 = 15
+	suspicionTimeout          = time.Second
+	entryHeartbeatInterval    = 250 * time.Millisecond
+	minConnectionAge          = time.Second
+	answerGracePeriod         = 50 * time.Millisecond
+	drainTimeout              = 30 * time.Second
+	// drainNotice lets a balancer that probes every second see two refusals.
 	drainNotice = 2 * time.Second
 )
 
-// environmentName returns the environment variable of a flag.
+// environmentName returns the name of the environment variable that sets a flag.
 func environmentName(flag string) string {
 	return "SARDINELOCK_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
-// environmentAnnotation marks a flag that the environment has set.
+// environmentAnnotation marks a flag that was set by its environment variable.
 const environmentAnnotation = "environment"
 
-// applyEnvironment sets the flags that were not given from their environment
-// variables. It reports every fault.
+// applyEnvironment sets flags that were not given on the command line from their
+// environment variables. Its error lists all invalid values.
 func applyEnvironment(c *cobra.Command) error {
-	var faults []string
+	var problems []string
 	c.Flags().VisitAll(func(f *pflag.Flag) {
 		value, ok := os.LookupEnv(environmentName(f.Name))
 		if f.Changed || !ok || f.Name == "help" {
 			return
 		}
 		if err := c.Flags().Set(f.Name, value); err != nil {
-			faults = append(faults, environmentName(f.Name)+": "+err.Error())
+			problems = append(problems, environmentName(f.Name)+": "+err.Error())
 		}
 		_ = c.Flags().SetAnnotation(f.Name, environmentAnnotation, []string{"true"})
 	})
-	return usageFaults(faults)
+	return usageErrors(problems)
 }
 
-// usageFaults returns all faults as one error, or nil if there are none.
-func usageFaults(faults []string) error {
-	if len(faults) == 0 {
+// usageErrors returns all problems as one error, or nil if there are none.
+func usageErrors(problems []string) error {
+	if len(problems) == 0 {
 		return nil
 	}
-	return &usageError{errors.New(strings.Join(faults, "\n"))}
+	return &usageError{errors.New(strings.Join(problems, "\n"))}
 }
 
 // addrFlag is a flag that holds an IP:port.
@@ -149,23 +149,23 @@
 func (s *siteFlags) register(f *pflag.FlagSet) {
 	f.StringVar(&s.region, "region", "default", "region of this process")
 	f.StringVar(&s.dataCentre, "data-centre", "default", "data centre of this process")
-	f.StringVar(&s.logLevel, "log-level", "info", "lowest level that is logged: debug, info, warn or error")
+	f.StringVar(&s.logLevel, "log-level", "info", "minimum log level: debug, info, warn or error")
 }
 
-// faults reports what is wrong with the settings.
-func (s *siteFlags) faults() []string {
-	var faults []string
+// validate returns the problems of the settings.
+func (s *siteFlags) validate() []string {
+	var problems []string
 	if s.region == "" {
-		faults = append(faults, "--region must not be empty")
+		problems = append(problems, "--region must not be empty")
 	}
 	if s.dataCentre == "" {
-		faults = append(faults, "--data-centre must not be empty")
+		problems = append(problems, "--data-centre must not be empty")
 	}
-	return append(faults, levelFaults(s.logLevel)...)
+	return append(problems, validateLogLevel(s.logLevel)...)
 }
 
-// levelFaults reports what is wrong with a log level.
-func levelFaults(level string) []string {
+// validateLogLevel returns the problems of a log level.
+func validateLogLevel(level string) []string {
 	switch level {
 	case "debug", "info", "warn", "error":
 		return nil
@@ -181,13 +181,13 @@
 	}
 }
 
-// newPeer names one run of a process.
+// newPeer returns a name that is unique to this run of the process.
 func newPeer(role messenger.Role) messenger.Peer {
 	return messenger.Peer(string(role) + "-" + uuid.NewString())
 }
 
-// reclaimGarbage bounds the garbage of this process until the returned function is
-// called.
+// reclaimGarbage starts a reclaimer that tunes the garbage collector of this process
+// until the returned function is called.
 func reclaimGarbage() (stop func()) {
 	timers := timer.New()
 	reclaimer.New().Subscribe(timers)
@@ -198,43 +198,43 @@
 	return coordinator.Limits{
 		Owner: owner.Limits{
 			Window:           dedupWindow,
-			MaxClockSkew:     clockDifference,
+			MaxClockSkew:     maxClockSkew,
 			MaxRecordBytes:   maxJobBytes,
 			MaxAnswerBytes:   maxAnswerBytes,
 			AbandonGrace:     abandonGrace,
-			AgentLossTimeout: lostAfter,
-			MaxReschedules:   maxReplacements,
+			AgentLossTimeout: agentLossTimeout,
+			MaxReschedules:   maxReschedules,
 		},
 		Placer:    placer.DefaultLimits(),
-		Registrar: registrar.Limits{PollInterval: pollEvery, RetryInterval: retryEvery},
-		Leaser:    leaser.Limits{LeaseDuration: lease, Margin: leaseMargin},
+		Registrar: registrar.Limits{PollInterval: pollInterval, RetryInterval: retryInterval},
+		Leaser:    leaser.Limits{LeaseDuration: leaseDuration, Margin: leaseMargin},
 		Recoverer: recoverer.Limits{
-			LeaseDuration: lease,
-			MaxClockSkew:  clockDifference,
-			Window:        dedupWindow + 2*clockDifference,
+			LeaseDuration: leaseDuration,
+			MaxClockSkew:  maxClockSkew,
+			Window:        dedupWindow + 2*maxClockSkew,
 		},
 		Enroller: enroller.Limits{
-			UnreachableTimeout:        agentGoneAfter,
-			WitnessUnreachableTimeout: witnessGone,
-			Window:                    dedupWindow + 2*clockDifference,
+			UnreachableTimeout:        unreachableTimeout,
+			WitnessUnreachableTimeout: witnessUnreachableTimeout,
+			Window:                    dedupWindow + 2*maxClockSkew,
 			Witnesses:                 witnesses,
 		},
-		StartTimeout:           startBudget,
-		SuspicionTimeout:       suspectAfter,
-		EntryHeartbeatInterval: pingEntries,
-		MinConnectionAge:       steadyAfter,
-		AnswerGracePeriod:      answerSlack,
+		StartTimeout:           startTimeout,
+		SuspicionTimeout:       suspicionTimeout,
+		EntryHeartbeatInterval: entryHeartbeatInterval,
+		MinConnectionAge:       minConnectionAge,
+		AnswerGracePeriod:      answerGracePeriod,
 	}
 }
 
 func agentLimits() guard.Limits {
 	return guard.Limits{
-		Window:         dedupWindow + 2*clockDifference,
+		Window:         dedupWindow + 2*maxClockSkew,
 		MaxRecordBytes: maxRecordBytes,
 		RetainFor:      retainFor,
 		RetainBytes:    retainBytes,
 		MaxWaiting:     maxWaiting,
-		MaxEchoDelay:   echoFor,
+		MaxEchoDelay:   maxEchoDelay,
 		MaxResultDelay: guard.DefaultMaxResultDelay,
 	}
 }
--- a/cmd/sardinelock/cmd/submit.go
+++ b/cmd/sardinelock/cmd/submit.go
@@ -28,14 +28,14 @@
 		Example: `  sardinelock submit --entry 127.0.0.1:7400 --service quote --file examples/quote.json`,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			faults := caller.faults()
+			problems := caller.validate()
 			if service == "" {
-				faults = append(faults, "--service must be set")
+				problems = append(problems, "--service must be set")
 			}
 			if file == "" {
-				faults = append(faults, "--file must be set")
+				problems = append(problems, "--file must be set")
 			}
-			if err := usageFaults(faults); err != nil {
+			if err := usageErrors(problems); err != nil {
 				return err
 			}
 			job, err := readJobFile(file)
@@ -61,11 +61,11 @@
 	f.StringVar(&service, "service", "", "name of the service")
 	f.StringVar(&file, "file", "", "file with the job, as JSON")
 	f.StringVar(&id, "submission-id", "", "submission id to use (default: a new one)")
-	f.DurationVar(&deadline, "deadline", 0, "deadline of the job (default: the job's or the service's)")
+	f.DurationVar(&deadline, "deadline", 0, "deadline of the job (default: from the job file, or else of the service)")
 	return c
 }
 
-// readJobFile reads a job. An error names the file and the byte.
+// readJobFile reads a job. A syntax error names the file and the byte offset.
 func readJobFile(name string) (*submitter.Job, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
--- a/cmd/sardinelock/cmd/survey.go
+++ b/cmd/sardinelock/cmd/survey.go
@@ -17,12 +17,12 @@
 func newSurveyCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "survey",
-		Short: "Measure what the parts of the system cost by size",
-		Long: `Measure what the parts of the system cost by size, on this machine.
+		Short: "Measure the resource usage of the system by its size",
+		Long: `Measure the resource usage of the system by its size, on this machine.
 
-Each subcommand prints the slopes that it measured as JSON, one object a slope;
-"survey report" turns them into the tables of docs/CAPACITY.md. The script
-.ci/survey runs all of them with the processes that they need.`,
+Each subcommand prints the measured slopes as JSON, one object per slope. "survey
+report" converts them to the tables of docs/CAPACITY.md. The script .ci/survey runs
+all subcommands and starts the processes that they need.`,
 		Args: cobra.NoArgs,
 	}
 	c.AddCommand(newSurveyStateCommand(), newSurveyAgentsCommand(), newSurveyEntriesCommand(),
@@ -56,33 +56,33 @@
 
 func (s *surveyFlags) register(c *cobra.Command, sizes []int, what string) {
 	f := c.Flags()
-	f.IntVar(&s.options.PID, "pid", 0, "process on this machine that is measured")
+	f.IntVar(&s.options.PID, "pid", 0, "id of the measured process, which must run on this machine")
 	f.DurationVar(&s.options.MeasurementDuration, "hold", 5*time.Second, "how long each size is measured")
 	f.IntSliceVar(&s.options.Sizes, "sizes", sizes, what)
 }
 
-// check completes the options and reports what is wrong with them. The addresses
-// must be on loopback: a survey loads what it measures.
+// check completes and validates the options. The addresses must be on loopback
+// because a survey puts load on the processes that it measures.
 func (s *surveyFlags) check(addrs ...netip.AddrPort) error {
-	var faults []string
+	var problems []string
 	for _, a := range addrs {
 		if !a.Addr().IsLoopback() {
-			faults = append(faults, "addresses must be set and on loopback")
+			problems = append(problems, "addresses must be set and on loopback")
 		}
 	}
 	if s.options.PID <= 0 {
-		faults = append(faults, "--pid must be set")
+		problems = append(problems, "--pid must be set")
 	}
 	if s.options.MeasurementDuration < time.Second {
-		faults = append(faults, "--hold must be at least 1s")
+		problems = append(problems, "--hold must be at least 1s")
 	}
 	if len(s.options.Sizes) < 4 {
-		faults = append(faults, "--sizes needs at least four sizes")
+		problems = append(problems, "--sizes needs at least four sizes")
 	}
 	s.options.Limits = entryLimits()
 	s.options.AgentLimits = agentLimits()
 	s.options.Logger = newLogger("error")
-	return usageFaults(faults)
+	return usageErrors(problems)
 }
 
 func newSurveyAgentsCommand() *cobra.Command {
@@ -128,7 +128,7 @@
 		},
 	}
 	s.register(c, []int{1, 3, 10, 20}, "numbers of entries")
-	c.Flags().Var(addrFlag{&s.entry}, "peer-listen", "address at which the first entry accepts the agent")
+	c.Flags().Var(addrFlag{&s.entry}, "peer-listen", "listen address of the first entry for the agent")
 	return c
 }
 
@@ -136,7 +136,7 @@
 	var s surveyFlags
 	c := &cobra.Command{
 		Use:     "tasks",
-		Short:   "Measure an entry under load by the tasks of a job",
+		Short:   "Measure an entry under load by the number of tasks of a job",
 		Example: `  sardinelock survey tasks --entry 127.0.0.1:7401 --caller 127.0.0.1:7400 --pid 4711`,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -150,9 +150,9 @@
 			return writeSlopes(c.OutOrStdout(), slopes)
 		},
 	}
-	s.register(c, []int{1, 11, 58, 290, 580}, "tasks of a job")
+	s.register(c, []int{1, 11, 58, 290, 580}, "numbers of tasks of a job")
 	c.Flags().Var(addrFlag{&s.entry}, "entry", "peer address of the entry")
-	c.Flags().Var(addrFlag{&s.caller}, "caller", "callers' address of the entry")
+	c.Flags().Var(addrFlag{&s.caller}, "caller", "caller address of the entry")
 	return c
 }
 
@@ -161,12 +161,12 @@
 	var file string
 	c := &cobra.Command{
 		Use:     "report",
-		Short:   "Turn slopes into the capacity tables, as Markdown",
+		Short:   "Convert slopes to the capacity tables, as Markdown",
 		Example: `  sardinelock survey report --slopes slopes.json --entries 20`,
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if file == "" {
-				return usageFaults([]string{"--slopes must be set"})
+				return usageErrors([]string{"--slopes must be set"})
 			}
 			f, err := os.Open(file)
 			if err != nil {
@@ -186,10 +186,10 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&file, "slopes", "", "file with slopes, as the other subcommands print them")
+	f.StringVar(&file, "slopes", "", "file with slopes as printed by the other subcommands")
 	f.IntVar(&size.Entries, "entries", size.Entries, "number of entries")
 	f.IntVar(&size.Agents, "agents", size.Agents, "number of agents")
-	f.Float64Var(&size.StartsPerSecond, "starts-per-second", size.StartsPerSecond, "task starts a second")
+	f.Float64Var(&size.StartsPerSecond, "starts-per-second", size.StartsPerSecond, "task starts per second")
 	f.Float64Var(&size.TasksPerJob, "tasks-per-job", size.TasksPerJob, "mean number of tasks of a job")
 	return c
 }
--- a/cmd/sardinelock/cmd/team.go
+++ b/cmd/sardinelock/cmd/team.go
@@ -5,7 +5,7 @@
 func newTeamCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "team",
-		Short: "Look at teams",
+		Short: "Show teams",
 		Args:  cobra.NoArgs,
 	}
 	c.AddCommand(newTeamListCommand())
--- a/cmd/sardinelock/cmd/secure.go
+++ b/cmd/sardinelock/cmd/tls.go
@@ -20,14 +20,14 @@
 
 func (t *serverTLSFlags) register(f *pflag.FlagSet) {
 	f.StringVar(&t.files.Certificate, "tls-certificate", "", "file with the certificate of this process, as PEM")
-	f.StringVar(&t.files.Key, "tls-key", "", "file with the key of the certificate, as PEM")
-	f.StringVar(&t.files.Authorities, "tls-ca", "", "file with the certificates that sign those of the system's processes, as PEM")
-	f.StringVar(&t.files.ServerName, "tls-server-name", "", "name that the system's certificates carry (default: the address that is dialled)")
+	f.StringVar(&t.files.Key, "tls-key", "", "file with the private key of the certificate, as PEM")
+	f.StringVar(&t.files.Authorities, "tls-ca", "", "file with the CA certificates of the system's processes, as PEM")
+	f.StringVar(&t.files.ServerName, "tls-server-name", "", "server name in the system's certificates (default: the dialled address)")
 	f.BoolVar(&t.allowPlaintext, "allow-plaintext", false, "listen without TLS on addresses other than loopback")
 }
 
-// faults reports what is wrong with the settings for the listeners.
-func (t *serverTLSFlags) faults(listeners ...netip.AddrPort) []string {
+// validate returns the problems of the settings for the listeners.
+func (t *serverTLSFlags) validate(listeners ...netip.AddrPort) []string {
 	given := 0
 	for _, name := range []string{t.files.Certificate, t.files.Key, t.files.Authorities} {
 		if name != "" {
@@ -41,16 +41,16 @@
 	default:
 		return []string{"--tls-certificate, --tls-key and --tls-ca must be set together"}
 	}
-	var faults []string
+	var problems []string
 	for _, l := range listeners {
 		if !t.allowPlaintext && !l.Addr().IsLoopback() {
-			faults = append(faults, l.String()+" is not loopback: set --tls-certificate, --tls-key and --tls-ca, or --allow-plaintext")
+			problems = append(problems, l.String()+" is not loopback: set --tls-certificate, --tls-key and --tls-ca, or --allow-plaintext")
 		}
 	}
-	return faults
+	return problems
 }
 
-// certifier reads the files; it returns nil without TLS settings.
+// certifier loads the files. It returns nil if TLS is not configured.
 func (t *serverTLSFlags) certifier() (*certifier.Certifier, error) {
 	if t.files.Certificate == "" {
 		return nil, nil
@@ -58,7 +58,8 @@
 	return certifier.New(t.files)
 }
 
-// clientFlags say how a command reaches an entry and who it is.
+// clientFlags are the credentials and TLS settings with which a command calls an
+// entry.
 type clientFlags struct {
 	tokenFile   string
 	authorities string
@@ -67,11 +68,11 @@
 
 func (c *clientFlags) register(f *pflag.FlagSet) {
 	f.StringVar(&c.tokenFile, "token-file", "", "file with the bearer token")
-	f.StringVar(&c.authorities, "tls-ca", "", "file with the certificates that sign the entries', as PEM; it turns TLS on")
-	f.StringVar(&c.serverName, "tls-server-name", "", "name that the entries' certificates carry (default: the address that is dialled)")
+	f.StringVar(&c.authorities, "tls-ca", "", "file with the CA certificates of the entries, as PEM; enables TLS")
+	f.StringVar(&c.serverName, "tls-server-name", "", "server name in the entries' certificates (default: the dialled address)")
 }
 
-// token reads the token. An error never has its content.
+// token reads the token. Its errors never contain the content of the file.
 func (c *clientFlags) token() (string, error) {
 	if c.tokenFile == "" {
 		return "", nil
--- a/cmd/sardinelock/cmd/tree_test.go
+++ b/cmd/sardinelock/cmd/tree_test.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/pflag"
 )
 
-// commands returns a command and all below it.
+// commands returns a command and all of its subcommands, recursively.
 func commands(c *cobra.Command) []*cobra.Command {
 	out := []*cobra.Command{c}
 	for _, sub := range c.Commands() {
@@ -19,12 +19,12 @@
 	return out
 }
 
-// listed is the name of a command that prints a listing or a report.
-var listed = regexp.MustCompile(`^(list|history|status|diff|show|burn)$`)
+// listingName matches the names of commands that print a listing or a report.
+var listingName = regexp.MustCompile(`^(list|history|status|diff|show|burn)$`)
 
-// TestCommandTree walks all commands: each has a line of help, and each that does
-// something has an example that names it with flags that it has. Listings print a
-// table or JSON, and every flag is explained.
+// TestCommandTree checks all commands. Each must have a short help and explain all of
+// its flags. Each command that is not a group must have an example that uses only
+// existing flags. Listings must support the output formats table and JSON.
 func TestCommandTree(t *testing.T) {
 	for _, c := range commands(newRoot()) {
 		path := c.CommandPath()
@@ -40,7 +40,7 @@
 			continue
 		}
 		checkExamples(t, c)
-		if output := c.Flags().Lookup("output"); listed.MatchString(c.Name()) {
+		if output := c.Flags().Lookup("output"); listingName.MatchString(c.Name()) {
 			if output == nil || output.DefValue != string(outputTable) || !strings.Contains(output.Usage, "json") {
 				t.Errorf("%s: --output is %+v", path, output)
 			}
@@ -48,7 +48,7 @@
 	}
 }
 
-var flagInExample = regexp.MustCompile(`--([a-z][a-z-]*)`)
+var exampleFlagPattern = regexp.MustCompile(`--([a-z][a-z-]*)`)
 
 func checkExamples(t *testing.T, c *cobra.Command) {
 	t.Helper()
@@ -59,17 +59,17 @@
 		if !strings.Contains(line, c.CommandPath()) {
 			continue
 		}
-		for _, name := range flagInExample.FindAllStringSubmatch(line, -1) {
+		for _, name := range exampleFlagPattern.FindAllStringSubmatch(line, -1) {
 			if c.Flags().Lookup(name[1]) == nil && c.InheritedFlags().Lookup(name[1]) == nil {
-				t.Errorf("%s: the example has --%s, which is no flag", c.CommandPath(), name[1])
+				t.Errorf("%s: the example uses --%s, which does not exist", c.CommandPath(), name[1])
 			}
 		}
 	}
 }
 
-// TestEveryFlagHasAVariable sets the variable of every flag of every command, one at
-// a time, to what its default is, or to what every value refuses, and checks that the
-// flag has taken or refused it.
+// TestEveryFlagHasAVariable sets the environment variable of every flag of every
+// command, one at a time, to a text that is not a value. Flags of text must accept it,
+// and all other flags must reject it.
 func TestEveryFlagHasAVariable(t *testing.T) {
 	var paths []string
 	for _, c := range commands(newRoot()) {
@@ -77,7 +77,7 @@
 	}
 	for _, path := range paths {
 		var names []string
-		find(t, path).Flags().VisitAll(func(f *pflag.Flag) { names = append(names, f.Name) })
+		findCommand(t, path).Flags().VisitAll(func(f *pflag.Flag) { names = append(names, f.Name) })
 		for _, name := range names {
 			if name == "help" {
 				continue
@@ -87,8 +87,8 @@
 	}
 }
 
-// find returns a new command of a path.
-func find(t *testing.T, path string) *cobra.Command {
+// findCommand returns the command at a path in a new command tree.
+func findCommand(t *testing.T, path string) *cobra.Command {
 	t.Helper()
 	c, _, err := newRoot().Find(strings.Fields(path))
 	if err != nil {
@@ -101,7 +101,7 @@
 	const refused = "not a value"
 	textual := []string{"string", "stringSlice", "stringArray"}
 	t.Setenv(environmentName(name), refused)
-	c := find(t, path)
+	c := findCommand(t, path)
 	err := applyEnvironment(c)
 	f := c.Flags().Lookup(name)
 	if slices.Contains(textual, f.Value.Type()) {
--- a/cmd/sardinelock/cmd/upstream.go
+++ b/cmd/sardinelock/cmd/upstream.go
@@ -13,7 +13,7 @@
 func newUpstreamCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "upstream",
-		Short: "Look at upstreams and change them",
+		Short: "Show and change upstreams",
 		Args:  cobra.NoArgs,
 	}
 	c.AddCommand(
@@ -26,20 +26,21 @@
 	return c
 }
 
-// upstreamChange is a command that changes upstreams, named or by rack.
+// upstreamChange is a command that changes upstreams, which are given by name or by
+// rack and data centre.
 type upstreamChange struct {
 	change           changeFlags
 	dataCentre, rack string
 	action           string
 }
 
-// command completes a command whose texts are set.
+// command adds the flags and the implementation to c.
 func (u *upstreamChange) command(c *cobra.Command) *cobra.Command {
 	c.RunE = func(c *cobra.Command, args []string) error { return u.run(c, args) }
 	f := c.Flags()
 	u.change.register(f)
 	f.StringVar(&u.rack, "rack", "", "change all upstreams of a rack")
-	f.StringVar(&u.dataCentre, "data-centre", "", "change all upstreams of a data centre, or of its rack with --rack")
+	f.StringVar(&u.dataCentre, "data-centre", "", "change all upstreams of a data centre, or with --rack those of one rack in it")
 	return c
 }
 
@@ -49,7 +50,7 @@
 		return err
 	}
 	if (len(peers) == 0) == (u.rack == "" && u.dataCentre == "") {
-		return usageFaults([]string{"give either names of upstreams or --rack and --data-centre"})
+		return usageErrors([]string{"give either names of upstreams or --rack and --data-centre"})
 	}
 	if len(peers) == 0 {
 		if peers, err = u.find(c, client); err != nil {
@@ -59,12 +60,13 @@
 	return u.changeAll(c, client, peers)
 }
 
-// changeAll changes one upstream after the other and prints what was made, also
-// if one fails.
+// changeAll changes the upstreams one after the other and prints the results. It
+// stops at the first failure. With several upstreams, each change has an id of its own
+// that is derived from the given id, so that a retry is idempotent.
 func (u *upstreamChange) changeAll(c *cobra.Command, client *administrator.Client, peers []string) error {
 	base, err := uuid.Parse(u.change.id())
 	if err != nil {
-		return usageFaults([]string{"--change-id must be a UUID"})
+		return usageErrors([]string{"--change-id must be a UUID"})
 	}
 	var made []administrator.Changed
 	for _, peer := range peers {
@@ -74,22 +76,22 @@
 		}
 		one, err := client.Change(c.Context(), "/v1/admin/upstreams/"+url.PathEscape(peer)+"/"+u.action, id)
 		if err != nil {
-			return u.stopped(c, made, peer, err)
+			return u.reportFailure(c, made, peer, err)
 		}
 		made = append(made, one)
 	}
 	return u.change.print(c, made)
 }
 
-// stopped prints the changes that were made before one failed, and returns its
-// error with the way to go on.
-func (u *upstreamChange) stopped(c *cobra.Command, made []administrator.Changed, peer string, cause error) error {
+// reportFailure prints the changes that were made before one failed, and returns the
+// error of the failed one with the change id for a retry.
+func (u *upstreamChange) reportFailure(c *cobra.Command, made []administrator.Changed, peer string, cause error) error {
 	if len(made) > 0 {
 		if err := u.change.print(c, made); err != nil {
 			return err
 		}
 	}
-	return errors.Annotatef(cause, "%s (repeat with --change-id %s)", peer, u.change.changeID)
+	return errors.Annotatef(cause, "%s (retry with --change-id %s)", peer, u.change.changeID)
 }
 
 // find returns the upstreams of the rack and the data centre.
--- a/cmd/sardinelock/cmd/upstream_eject.go
+++ b/cmd/sardinelock/cmd/upstream_eject.go
@@ -6,9 +6,9 @@
 	u := &upstreamChange{action: "eject"}
 	return u.command(&cobra.Command{
 		Use:   "eject [UPSTREAM...]",
-		Short: "Take upstreams out by hand",
-		Long: `Take upstreams out by hand, as if their tasks had failed. They get no probes:
-the ejection lasts until restore.`,
+		Short: "Eject upstreams manually",
+		Long: `Eject upstreams manually, as if their tasks had failed. Such upstreams get no
+probes: the ejection lasts until "upstream restore".`,
 		Example: `  sardinelock upstream eject agent-3 --admin 127.0.0.1:7402`,
 	})
 }
--- a/cmd/sardinelock/cmd/upstream_list.go
+++ b/cmd/sardinelock/cmd/upstream_list.go
@@ -16,8 +16,8 @@
 		Short: "List upstreams with their state",
 		Long: `List upstreams with their state, summed over all entries.
 
-HOLD is what an operator has ordered. EJECTED says at how many entries the
-upstream is ejected, and why.`,
+HOLD is the order of an operator that is in force. EJECTED is the number of entries
+at which the upstream is ejected, and the reason.`,
 		Example: `  sardinelock upstream list --admin 127.0.0.1:7402
   sardinelock upstream list --admin 127.0.0.1:7402 --output json`,
 		Args: cobra.NoArgs,
--- a/cmd/sardinelock/cmd/upstream_restore.go
+++ b/cmd/sardinelock/cmd/upstream_restore.go
@@ -6,7 +6,7 @@
 	u := &upstreamChange{action: "restore"}
 	return u.command(&cobra.Command{
 		Use:     "restore [UPSTREAM...]",
-		Short:   "Let ejected upstreams work again",
+		Short:   "Return ejected upstreams to service",
 		Example: `  sardinelock upstream restore agent-3 --admin 127.0.0.1:7402`,
 	})
 }
--- a/cmd/sardinelock/cmd/upstream_undrain.go
+++ b/cmd/sardinelock/cmd/upstream_undrain.go
@@ -6,7 +6,7 @@
 	u := &upstreamChange{action: "undrain"}
 	return u.command(&cobra.Command{
 		Use:     "undrain [UPSTREAM...]",
-		Short:   "Give drained upstreams work again",
+		Short:   "Return drained upstreams to service",
 		Example: `  sardinelock upstream undrain agent-3 --admin 127.0.0.1:7402`,
 	})
 }
--- a/cmd/sardinelock/cmd/versions.go
+++ b/cmd/sardinelock/cmd/versions.go
@@ -13,17 +13,17 @@
 	"sardinelock.dev/sardinelock/internal/versioner"
 )
 
-// versions reads and makes versions of the configuration, through the
-// administration API or at the platform's services.
+// versions reads and creates versions of the configuration, through the
+// administration API or directly through the platform's services.
 type versions struct {
 	// version returns a version; 0 stands for the current one.
 	version func(ctx context.Context, number uint64) (*configurer.Version, error)
 	history func(ctx context.Context, limit int) ([]configurer.Head, error)
-	// apply makes a change and says what became of it.
+	// apply makes a change and reports its outcome.
 	apply func(ctx context.Context, c versioner.Change) (versioner.Report, error)
 }
 
-// versionSource is the settings that say where versions are: the administration
+// versionSource are the settings of the source of versions: the administration
 // addresses of entries, which check the operator's role, or the platform itself.
 type versionSource struct {
 	clientFlags
@@ -32,15 +32,15 @@
 }
 
 func (s *versionSource) register(f *pflag.FlagSet) {
-	f.Var(addrsFlag{&s.admin}, "admin", "administration addresses of entries; they are tried in order")
+	f.Var(addrsFlag{&s.admin}, "admin", "administration addresses of entries, tried in order")
 	f.Var(addrFlag{&s.platform}, "platform", "address of the platform's services, to work without entries")
 	s.clientFlags.register(f)
 }
 
-// choose leaves one of the two sources. What is given on the command line goes
-// before the environment, and the administration API before the platform.
+// choose selects one of the two sources. A flag on the command line takes precedence
+// over the environment, and the administration API over the platform.
 func (s *versionSource) choose(c *cobra.Command) []string {
-	admin, platform := given(c, "admin"), given(c, "platform")
+	admin, platform := setOnCommandLine(c, "admin"), setOnCommandLine(c, "platform")
 	switch {
 	case admin && platform:
 		return []string{"--admin and --platform exclude each other"}
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// given reports whether a flag is on the command line.
-func given(c *cobra.Command, name string) bool {
+// setOnCommandLine reports whether a flag was set on the command line.
+func setOnCommandLine(c *cobra.Command, name string) bool {
 	f := c.Flags().Lookup(name)
 	return f.Changed && f.Annotations[environmentAnnotation] == nil
 }
@@ -81,8 +81,8 @@
 	}, nil
 }
 
-// adminChange returns a change as the administration API takes it. The entry names
-// the operator by the token.
+// adminChange converts a change for the administration API. It omits the operator,
+// whom the entry identifies by the token.
 func adminChange(c *versioner.Change) administrator.ConfigChange {
 	out := administrator.ConfigChange{Expect: &c.ExpectVersion, Comment: c.Comment, RollbackTo: c.RollbackTo, Repeated: c.Repeated}
 	if c.RollbackTo > 0 {
--- a/tools/alarms/check.go
+++ b/tools/alarms/check.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/prometheus/promql/parser"
 )
 
-// file is a file of rules as Prometheus reads it.
+// file is a rule file in the format of Prometheus.
 type file struct {
 	Groups []struct {
 		Name  string `yaml:"name"`
@@ -27,14 +27,14 @@
 	Annotations map[string]string `yaml:"annotations"`
 }
 
-// metrics has the labels of each metric by its name.
+// metrics maps the name of each metric to its labels.
 type metrics map[string][]string
 
-// targetLabels are on every metric: the server that scrapes adds them.
+// targetLabels are on every metric: the scraping server adds them.
 var targetLabels = []string{"instance", "job"}
 
-// parseMetrics reads a list of lines with a metric's name and its labels. The
-// server itself adds "up".
+// parseMetrics parses lines that each contain the name of a metric and its labels.
+// It adds "up", which the scraping server exports.
 func parseMetrics(text string) metrics {
 	m := metrics{"up": nil}
 	for line := range strings.Lines(text) {
@@ -45,7 +45,8 @@
 	return m
 }
 
-// check returns the number of rules and all faults.
+// check validates the rules against the exported metrics and the operators' page. It
+// returns the number of rules and all faults.
 func check(rules []byte, known metrics, page string) (n int, faults []string) {
 	var f file
 	if err := yaml.UnmarshalWithOptions(rules, &f, yaml.Strict()); err != nil {
@@ -91,8 +92,8 @@
 	checkUse(expr, known, fault)
 }
 
-// checkUse checks the metrics and labels that an expression uses. A label by which
-// is grouped must be on every metric below.
+// checkUse checks that the metrics and labels of an expression exist. A grouping
+// label must be on every metric within the aggregation.
 func checkUse(expr parser.Expr, known metrics, fault func(string, ...any)) {
 	parser.Inspect(expr, func(n parser.Node, _ []parser.Node) error {
 		switch n := n.(type) {
@@ -133,7 +134,7 @@
 	return out
 }
 
-// sections returns the links of the sections of the page's chapter on alarms.
+// sections returns links to the sections of the chapter "Alarms" of the page.
 func sections(page string) []string {
 	var out []string
 	chapter := false
--- a/tools/alarms/check_test.go
+++ b/tools/alarms/check_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestCheck gives the check one rule with each fault that it must find.
+// TestCheck checks one rule with each kind of fault.
 func TestCheck(t *testing.T) {
 	known := parseMetrics("queued\nanswers_total reason service\n")
 	const page = "## Alarms\n### The queue\n    queued > 1\n### Other\n## Tasks\n### A task\n"
--- a/tools/alarms/main.go
+++ b/tools/alarms/main.go
@@ -1,10 +1,11 @@
 // Command alarms checks the rules of examples/alarms.yaml without a server.
 //
 // Every expression must parse, and may use only metrics and labels that a running
-// system exports, as the list of a test of the product says. Every rule must name a
-// section of the operators' page, which must repeat its expression; every section
-// must have a rule. The parser is Prometheus' own, in a module of its own, so that
-// the product does not depend on it.
+// system exports; TestMetricsAreListed keeps the list of them up to date. Every rule
+// must name a section of the operators' page, which must repeat the expression of the
+// rule, and every section must have a rule. The expressions are parsed by Prometheus'
+// own parser. This command is a module of its own so that the product does not depend
+// on Prometheus.
 package main
 
 import (
@@ -13,7 +14,7 @@
 	"path/filepath"
 )
 
-// The files that are checked against each other, below the root of the tree.
+// The files that are checked against each other, relative to the root of the tree.
 const (
 	rulesFile   = "examples/alarms.yaml"
 	metricsFile = "cmd/sardinelock/cmd/testdata/metrics.txt"
