--- a/internal/assigner/agent.go
+++ b/internal/assigner/agent.go
@@ -161,8 +161,8 @@
 	return len(g.tasks) == 0 && now-g.idleSince >= d
 }
 
-// silence returns the time since the agent's latest frame, less the longer heartbeat
-// interval that it may use while it is idle.
+// silence returns the time since the agent's latest frame, less the idle heartbeat
+// interval while the agent is idle.
 func (a *Assigner) silence(now time.Duration, g *agent) time.Duration {
 	silence := now - max(g.lastReceived, g.leftIdleAt)
 	// The agent's idle period begins earlier or later than the entry's view of it, by the
--- a/internal/assigner/assigner.go
+++ b/internal/assigner/assigner.go
@@ -28,9 +28,11 @@
 	// LeaseExpiry is the longest time that a run for this entry can outlive the last
 	// contact with its agent.
 	LeaseExpiry time.Duration
-	// SuspicionTimeout is the time of silence after which no task is launched at an agent.
+	// SuspicionTimeout is the time without a frame from an agent after which no task is
+	// launched there.
 	SuspicionTimeout time.Duration
-	// LivenessTimeout is the time of silence after which an agent's connection is closed.
+	// LivenessTimeout is the time without a frame from an agent after which its
+	// connection is closed.
 	LivenessTimeout time.Duration
 	// HeartbeatInterval is the longest time between two frames to an agent.
 	HeartbeatInterval time.Duration
--- a/internal/assigner/job.go
+++ b/internal/assigner/job.go
@@ -110,8 +110,8 @@
 	return j
 }
 
-// lateFactor is the number of objectives after which an answer is of no use. The
-// services' agreement counts an answer as late up to that time.
+// lateFactor is the number of objectives after which an answer is of no use. Up to that
+// time, the service-level agreement counts it as late.
 const lateFactor = 3
 
 // admit starts a job, or rejects it if it cannot complete in time.
--- a/internal/coordinator/bequests.go
+++ b/internal/coordinator/bequests.go
@@ -48,9 +48,9 @@
 	f.RecordTransfers = append(f.RecordTransfers, m)
 }
 
-// chooseSuccessor returns the member to which an agent's records are transferred; empty
-// if there is none. It is not shutting down itself. Rendezvous hashing spreads the
-// agents over successors, so that no successor receives the records of many.
+// chooseSuccessor returns the member to which an agent's records are transferred, which
+// must not be shutting down itself, or "" if there is none. Rendezvous hashing spreads
+// the agents over successors, so that no successor receives the records of many.
 func (c *Coordinator) chooseSuccessor(agent messenger.Peer) messenger.Peer {
 	roster := c.registrar.Roster(c.self.Region)
 	var successor messenger.Peer
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -66,8 +66,8 @@
 	agentOrder []messenger.Peer // The connected agents, sorted.
 	entries    map[messenger.Peer]*entryLink
 	entryOrder []messenger.Peer // The connected entries, sorted.
-	// disconnectedSince has the roster members without a connection, and since when
-	// they have had none.
+	// disconnectedSince has, for each roster member without a connection, the time
+	// since which it has had none.
 	disconnectedSince map[messenger.Peer]time.Time
 	// unreachableSince has, for each entry in the table, the time from which it counts
 	// as unreachable while it is not connected: when its row was first read, when its
--- a/internal/coordinator/forward.go
+++ b/internal/coordinator/forward.go
@@ -18,7 +18,7 @@
 type forward struct {
 	request Request
 	sentTo  messenger.Peer // The entry that has the request now; empty if none has.
-	// everSent is set once any entry was sent the request.
+	// everSent is set once the request was sent to any entry.
 	everSent bool
 	// notBefore is the earliest time for sending the request again after it was
 	// returned.
--- a/internal/coordinator/pace.go
+++ b/internal/coordinator/pace.go
@@ -21,8 +21,8 @@
 }
 
 // due reports whether the check should run now.
-func (p *periodicCheck) due(now time.Time, every time.Duration) bool {
-	return p.cleanSince.IsZero() || now.Sub(p.cleanSince) >= every
+func (p *periodicCheck) due(now time.Time, interval time.Duration) bool {
+	return p.cleanSince.IsZero() || now.Sub(p.cleanSince) >= interval
 }
 
 // recordClean records that the check found nothing to do.
--- a/internal/coordinator/world_oracle_test.go
+++ b/internal/coordinator/world_oracle_test.go
@@ -11,9 +11,9 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// answerSlack is how long after its deadline a request may be answered, on the clock of
+// maxAnswerDelay is how long after its deadline a request may be answered, on the clock of
 // an active entry.
-const answerSlack = 100 * time.Millisecond
+const maxAnswerDelay = 100 * time.Millisecond
 
 // submission is a submission id with what its callers submit under it.
 type submission struct {
@@ -161,7 +161,7 @@
 // unanswered past its deadline.
 func (o *oracle) checkDeadlines(sim *simulation, p *process) {
 	for ticket, r := range o.requests {
-		if r.entry == p && r.unanswered() && p.now(sim).After(r.deadline.Add(answerSlack)) {
+		if r.entry == p && r.unanswered() && p.now(sim).After(r.deadline.Add(maxAnswerDelay)) {
 			o.fail("rule 2: ticket %d of %s has no answer %s after its deadline", ticket, r.submission.name, p.now(sim).Sub(r.deadline))
 		}
 	}
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -23,16 +23,16 @@
 // Limits are the settings of a guard.
 type Limits struct {
 	// Window is the deduplication window: how long a record is kept after its last
-	// use. It must exceed the owners' window by the permitted clock difference and
-	// the longest start-by budget, so that no id is accepted after its record has
-	// been deleted.
+	// use. It must exceed the owners' window by the maximum clock skew and the
+	// entries' start timeout, so that no id is accepted after its record has been
+	// deleted.
 	Window time.Duration
 	// MaxRecordBytes bounds the memory of the records and of the results that their
 	// owners may not have received. At the bound new work is refused; no record is
 	// evicted.
 	MaxRecordBytes int
 	// RetainFor and RetainBytes bound the results that are kept after their owner
-	// has received them, so that a new owner can answer if that owner dies.
+	// has received them, so that a new owner can answer if that owner fails.
 	RetainFor   time.Duration
 	RetainBytes int
 	// MaxWaiting bounds the starts that wait for a slot.
--- a/internal/guard/record.go
+++ b/internal/guard/record.go
@@ -40,7 +40,7 @@
 	key       string                 // key is the request key of the first start.
 	service   string                 // service is a string shared between records.
 	digest    uint64
-	cancelled bool // cancelled bars every further start.
+	cancelled bool // cancelled prevents every further start.
 	acked     bool // acked is set once the owner has acknowledged the results.
 	settled   bool // settled is set once the acknowledged results have been dropped.
 }
--- a/internal/guard/will.go
+++ b/internal/guard/will.go
@@ -16,7 +16,7 @@
 // transferred records must be complete.
 type recordTransfer struct {
 	started  bool
-	finished bool           // finished is set when a successor has all records, or none can be had.
+	finished bool           // finished is set when a successor has all records, or the transfer is not needed or has failed.
 	accepted bool           // accepted is set when a successor has all records.
 	entry    messenger.Peer // entry relays the pieces; empty until one is chosen.
 	attempt  int            // attempt counts the attempts at the transfer.
--- a/internal/owner/expiry.go
+++ b/internal/owner/expiry.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// expire applies the deadlines, the grace time and the retention time of a job.
+// expire applies the deadlines, the grace period and the retention time of a job.
 func (o *Owner) expire(now time.Time, j *job) {
 	if j.phase != phaseOpen {
 		o.expireWaiters(now, j)
@@ -71,7 +71,7 @@
 }
 
 // expireAbandoned cancels a job for which no request has waited during the grace
-// time. The grace time of a recovered job starts again while requests for it may
+// period. The grace period of a recovered job starts again while requests for it may
 // still arrive.
 func (o *Owner) expireAbandoned(now time.Time, j *job) {
 	if j.abandonedAt.IsZero() || now.Sub(j.abandonedAt) < o.limits.AbandonGrace || !o.mayRun(j) {
@@ -84,7 +84,7 @@
 	o.stop(now, j, submitter.ReasonCancelled, "no request waits for the job")
 }
 
-// startGrace starts the grace time of a job for which no request waits.
+// startGrace starts the grace period of a job for which no request waits.
 func (o *Owner) startGrace(now time.Time, j *job) {
 	j.abandonedAt = now
 	o.timers.push(timer{at: now.Add(o.limits.AbandonGrace), id: j.spec.Submission})
--- a/internal/owner/lifecycle.go
+++ b/internal/owner/lifecycle.go
@@ -300,7 +300,7 @@
 	}
 }
 
-// removeWaiter removes a request from the waiters of a job. It starts the grace time
+// removeWaiter removes a request from the waiters of a job. It starts the grace period
 // if no waiter is left.
 func (o *Owner) removeWaiter(now time.Time, j *job, w Waiter) {
 	delete(o.jobOfWaiter, w)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -197,7 +197,7 @@
 }
 
 // Abandon records that the caller of a request has disconnected. A job for which no
-// request waits is cancelled after the grace time, unless it is submitted again.
+// request waits is cancelled after the grace period, unless it is submitted again.
 // A recovered job with tasks that may be running counts as abandoned from the start.
 func (o *Owner) Abandon(now time.Time, w Waiter) {
 	j := o.jobOfWaiter[w]
@@ -230,7 +230,7 @@
 	o.stopRetryAfter(now, j, reason, detail, retryAfter)
 }
 
-// Tick applies everything that expires with time: deadlines, grace times,
+// Tick applies everything that expires with time: deadlines, grace periods,
 // disconnected agents and the retention of answered jobs.
 func (o *Owner) Tick(now time.Time) {
 	o.expireDisconnected(now)
--- a/internal/owner/recover.go
+++ b/internal/owner/recover.go
@@ -34,7 +34,7 @@
 	o.startRecoveredGrace(now, j)
 }
 
-// startRecoveredGrace starts the grace time of a recovered job that may be running.
+// startRecoveredGrace starts the grace period of a recovered job that may be running.
 // The requests for it may have ended together with the former owner.
 func (o *Owner) startRecoveredGrace(now time.Time, j *job) {
 	if j.phase == phaseRecovered && len(j.waiters) == 0 && j.abandonedAt.IsZero() && o.mayRun(j) {
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -293,13 +293,13 @@
 	p.rerank(a)
 }
 
-// ReleaseTransferred releases the outstanding tasks of the jobs for which gone
+// ReleaseTransferred releases the outstanding tasks of the jobs for which transferred
 // returns true: their results will go to another entry.
-func (p *Placer) ReleaseTransferred(now time.Time, gone func(identifier.Submission) bool) {
+func (p *Placer) ReleaseTransferred(now time.Time, transferred func(identifier.Submission) bool) {
 	p.recordStart(now)
 	for _, a := range p.order {
 		for ref, o := range a.sent {
-			if gone(ref.submission) {
+			if transferred(ref.submission) {
 				p.releaseTask(now, a, ref, o)
 			}
 		}
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -100,8 +100,9 @@
 	// recentListingAge of the listing before.
 	listedAt      time.Duration
 	recentListing bool
-	// outages counts how often the upstream has fallen silent or restarted, with less
-	// than faultMemory between two outages; lastOutage is the time of the last one.
+	// outages counts how often the upstream has stopped answering polls or restarted,
+	// with less than faultMemory between two outages; lastOutage is the time of the last
+	// one.
 	outages    int
 	lastOutage time.Duration
 	// countedJobs has the jobs whose failures were counted most recently.
--- a/internal/runner/session.go
+++ b/internal/runner/session.go
@@ -94,9 +94,10 @@
 // idleFor reports whether the session has had no task for at least d.
 func (s *session) idleFor(now, d time.Duration) bool { return s.tasks == 0 && now-s.idleSince >= d }
 
-// sinceEcho returns the time since the latest echo of the entry, less the allowance
-// for an idle session. The first task after an idle time counts as an echo: it carries
-// its latest start time, so that a task that was delayed in transit does not start.
+// sinceEcho returns the time since the latest echo of the entry, less the idle heartbeat
+// interval while the session is idle. The first task after an idle period counts as an
+// echo: it carries its latest start time, so that a task that was delayed in transit does
+// not start.
 func (r *Runner) sinceEcho(now time.Duration, s *session) time.Duration {
 	d := now - max(s.echoed, s.resumedAt)
 	if s.idleFor(now, r.limits.IdleThreshold/2) {
--- a/internal/runner/take.go
+++ b/internal/runner/take.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// recordOutage records that the upstream has fallen silent or restarted.
+// recordOutage records that the upstream has stopped answering polls or has restarted.
 func (r *Runner) recordOutage(now time.Duration) {
 	if now-r.lastOutage > faultMemory {
 		r.outages = 0
