--- a/internal/assigner/assigner.go
+++ b/internal/assigner/assigner.go
@@ -93,9 +93,9 @@
 	Outcome    Outcome
 	Reason     string        // in kebab case
 	RetryAfter time.Duration // delay after which a rejected caller may retry
-	Took       time.Duration
+	Elapsed    time.Duration
 	Launched   bool          // whether a task was sent to an agent
-	Waited     time.Duration // time until the first launch, or until the answer if there was none
+	QueueTime  time.Duration // time until the first launch, or until the answer if there was none
 }
 
 // Decision is a decision to be logged.
--- a/internal/assigner/job.go
+++ b/internal/assigner/job.go
@@ -249,7 +249,7 @@
 	}
 	a.out.Answers = append(a.out.Answers, Answer{
 		Ticket: j.Ticket, Job: j.ID, Queue: j.Queue, Outcome: o, Reason: reason,
-		RetryAfter: retryAfter, Took: now - j.arrived, Waited: waited, Launched: j.launched,
+		RetryAfter: retryAfter, Elapsed: now - j.arrived, QueueTime: waited, Launched: j.launched,
 	})
 }
 
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -292,12 +292,12 @@
 }
 
 func (b *Broker) deliverAnswer(a assigner.Answer) {
-	b.meter.Answered(a.Queue, string(a.Outcome), a.Reason, a.Took)
+	b.meter.Answered(a.Queue, string(a.Outcome), a.Reason, a.Elapsed)
 	if a.Launched {
-		b.meter.Started(a.Queue, a.Waited)
+		b.meter.Started(a.Queue, a.QueueTime)
 	}
 	b.settings.Journal.Line("job-"+string(a.Outcome)).Str("job", a.Job).Str("queue", a.Queue).
-		Str("reason", a.Reason).Dur("took", a.Took).Dur("waited", a.Waited).
+		Str("reason", a.Reason).Dur("took", a.Elapsed).Dur("waited", a.QueueTime).
 		Dur("retry-after", a.RetryAfter).Uint64("config-version", b.version()).Msg("")
 	if w := b.waiters[a.Ticket]; w != nil {
 		delete(b.waiters, a.Ticket)
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -253,7 +253,7 @@
 // for the drain timeout.
 func (k *Keeper) drain() {
 	k.settings.Journal.Line("draining").Msg("")
-	k.loop.Call(func(now time.Time) { k.runner.Close(k.loop.Elapsed(now)) })
+	k.loop.Call(func(now time.Time) { k.runner.StopAdmitting(k.loop.Elapsed(now)) })
 	deadline := time.Now().Add(k.settings.DrainTimeout)
 	idle := false
 	for !idle && time.Now().Before(deadline) {
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -267,8 +267,8 @@
 	}
 }
 
-// Close makes the runner accept no new tasks, for the shutdown of the agent.
-func (r *Runner) Close(now time.Duration) {
+// StopAdmitting makes the runner accept no new tasks, for the shutdown of the agent.
+func (r *Runner) StopAdmitting(now time.Duration) {
 	r.closing = true
 	r.returnWaiting(now)
 	r.requestReports()
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -94,7 +94,7 @@
 	case "loads":
 		s.loads = true
 	case "close":
-		s.runner.Close(s.now)
+		s.runner.StopAdmitting(s.now)
 	default:
 		s.t.Fatalf("line %d: unknown verb %q", l.Number, l.Verb)
 	}
--- a/internal/runner/session.go
+++ b/internal/runner/session.go
@@ -78,7 +78,7 @@
 	}
 	if r.sinceEcho(now, s) > r.limits.LivenessTimeout {
 		// A frame that was delayed in transit must not start anything.
-		r.closeSilent(now, s)
+		r.closeUnresponsive(now, s)
 		return
 	}
 	for i := range f.Withdraws {
@@ -106,7 +106,7 @@
 	return d
 }
 
-func (r *Runner) closeSilent(now time.Duration, s *session) {
+func (r *Runner) closeUnresponsive(now time.Duration, s *session) {
 	r.logDecision(Decision{Event: "entry-silent", Reason: string(s.peer), Age: now - s.echoed})
 	r.closeSession(now, s, "entry-silent")
 	r.out.Closes = append(r.out.Closes, s.peer)
--- a/internal/runner/take.go
+++ b/internal/runner/take.go
@@ -84,7 +84,7 @@
 func (r *Runner) closeSilentSessions(now time.Duration) {
 	for _, peer := range sortedPeers(r.sessions) {
 		if s := r.sessions[peer]; r.sinceEcho(now, s) > r.limits.LivenessTimeout {
-			r.closeSilent(now, s)
+			r.closeUnresponsive(now, s)
 		}
 	}
 }
