--- a/internal/coordinator/agents.go
+++ b/internal/coordinator/agents.go
@@ -108,7 +108,7 @@
 func (c *Coordinator) agentDown(now time.Time, peer messenger.Peer) {
 	c.rosterCheck.trigger()
 	delete(c.agents, peer)
-	c.recordTransfersAgentDown(peer)
+	c.endRecordTransfers(peer)
 	c.agentOrder = removePeer(c.agentOrder, peer)
 	c.disconnectedSince[peer] = now
 	c.leaser.Forget(peer)
--- a/internal/coordinator/bequests.go
+++ b/internal/coordinator/bequests.go
@@ -147,9 +147,9 @@
 	}
 }
 
-// recordTransfersAgentDown ends the transfers from and to an agent that has
+// endRecordTransfers ends the transfers from and to an agent that has
 // disconnected.
-func (c *Coordinator) recordTransfersAgentDown(peer messenger.Peer) {
+func (c *Coordinator) endRecordTransfers(peer messenger.Peer) {
 	delete(c.recordTransfers, peer)
 	for _, agent := range slices.Clone(c.agentOrder) {
 		if b := c.recordTransfers[agent]; b != nil && b.successor == peer {
--- a/internal/creditor/creditor.go
+++ b/internal/creditor/creditor.go
@@ -37,11 +37,11 @@
 
 // Creditor holds the division of one agent's slots.
 type Creditor struct {
-	limits        Limits
-	slots         int
-	shares        []*share // the connected entries in order of arrival
-	departedTasks int      // number of outstanding tasks of disconnected entries
-	grants        []Grant
+	limits            Limits
+	slots             int
+	shares            []*share // the connected entries in order of arrival
+	disconnectedTasks int      // number of outstanding tasks of disconnected entries
+	grants            []Grant
 }
 
 // share is the part of one entry in the division.
@@ -76,7 +76,7 @@
 func (c *Creditor) EntryDown(entry messenger.Peer) {
 	for i, s := range c.shares {
 		if s.entry == entry {
-			c.departedTasks += s.outstanding
+			c.disconnectedTasks += s.outstanding
 			c.shares = append(c.shares[:i], c.shares[i+1:]...)
 			return
 		}
@@ -89,7 +89,7 @@
 		s.outstanding++
 		return
 	}
-	c.departedTasks++
+	c.disconnectedTasks++
 }
 
 // Ended counts the end of a task. An empty entry stands for a disconnected one.
@@ -98,7 +98,7 @@
 		s.outstanding--
 		return
 	}
-	c.departedTasks = max(0, c.departedTasks-1)
+	c.disconnectedTasks = max(0, c.disconnectedTasks-1)
 }
 
 // GrantSent records that a grant was sent to its entry.
@@ -129,7 +129,7 @@
 // Outstanding returns the number of tasks at the agent, including those of disconnected
 // entries.
 func (c *Creditor) Outstanding() int {
-	n := c.departedTasks
+	n := c.disconnectedTasks
 	for _, s := range c.shares {
 		n += s.outstanding
 	}
--- a/internal/runner/take.go
+++ b/internal/runner/take.go
@@ -71,7 +71,7 @@
 
 // Take returns the actions that have become due since the last call.
 func (r *Runner) Take(now time.Duration) Output {
-	r.closeSilentSessions(now)
+	r.closeUnresponsiveSessions(now)
 	r.checkLease(now)
 	r.retryStops(now)
 	r.startWaiting(now)
@@ -81,7 +81,7 @@
 	return out
 }
 
-func (r *Runner) closeSilentSessions(now time.Duration) {
+func (r *Runner) closeUnresponsiveSessions(now time.Duration) {
 	for _, peer := range sortedPeers(r.sessions) {
 		if s := r.sessions[peer]; r.sinceEcho(now, s) > r.limits.LivenessTimeout {
 			r.closeUnresponsive(now, s)
