--- a/internal/assigner/job.go
+++ b/internal/assigner/job.go
@@ -110,8 +110,8 @@
 	return j
 }
 
-// lateFactor is the number of objectives after which an answer is of no use. The
-// services' agreement counts an answer as late up to that time.
+// lateFactor is the number of objectives after which an answer is of no use. Up to that
+// time, the service-level agreement counts it as late.
 const lateFactor = 3
 
 // admit starts a job, or rejects it if it cannot complete in time.
@@ -249,7 +249,7 @@
 	}
 	a.out.Answers = append(a.out.Answers, Answer{
 		Ticket: j.Ticket, Job: j.ID, Queue: j.Queue, Outcome: o, Reason: reason,
-		RetryAfter: retryAfter, Took: now - j.arrived, Waited: waited, Launched: j.launched,
+		RetryAfter: retryAfter, Elapsed: now - j.arrived, QueueTime: waited, Launched: j.launched,
 	})
 }
 
--- a/internal/runner/take.go
+++ b/internal/runner/take.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// recordOutage records that the upstream has fallen silent or restarted.
+// recordOutage records that the upstream has stopped answering polls or has restarted.
 func (r *Runner) recordOutage(now time.Duration) {
 	if now-r.lastOutage > faultMemory {
 		r.outages = 0
@@ -71,7 +71,7 @@
 
 // Take returns the actions that have become due since the last call.
 func (r *Runner) Take(now time.Duration) Output {
-	r.closeSilentSessions(now)
+	r.closeUnresponsiveSessions(now)
 	r.checkLease(now)
 	r.retryStops(now)
 	r.startWaiting(now)
@@ -81,10 +81,10 @@
 	return out
 }
 
-func (r *Runner) closeSilentSessions(now time.Duration) {
+func (r *Runner) closeUnresponsiveSessions(now time.Duration) {
 	for _, peer := range sortedPeers(r.sessions) {
 		if s := r.sessions[peer]; r.sinceEcho(now, s) > r.limits.LivenessTimeout {
-			r.closeSilent(now, s)
+			r.closeUnresponsive(now, s)
 		}
 	}
 }
