--- a/internal/administrator/administrator_test.go
+++ b/internal/administrator/administrator_test.go
@@ -96,7 +96,7 @@
 			return a.store.PutObject(ctx, key, body)
 		},
 		Now:           func() time.Time { return a.now },
-		Pause:         func(context.Context, time.Duration) {},
+		Sleep:         func(context.Context, time.Duration) {},
 		ConfigTimeout: 50 * time.Millisecond,
 	}
 }
--- a/internal/administrator/service.go
+++ b/internal/administrator/service.go
@@ -36,10 +36,10 @@
 	Object    func(ctx context.Context, key string) ([]byte, error)
 	Objects   func(ctx context.Context, prefix string) ([]string, error)
 	PutObject func(ctx context.Context, key string, body []byte) error
-	// Now returns the current time. Pause waits for a duration or until the context
+	// Now returns the current time. Sleep waits for a duration or until the context
 	// ends.
 	Now   func() time.Time
-	Pause func(ctx context.Context, d time.Duration)
+	Sleep func(ctx context.Context, d time.Duration)
 	// ConfigTimeout is how long a request tries to determine the outcome of a change
 	// of the configuration.
 	ConfigTimeout time.Duration
@@ -59,7 +59,7 @@
 		Object:    o.Object,
 		PutObject: o.PutObject,
 		Now:       o.Now,
-		Pause:     o.Pause,
+		Sleep:     o.Sleep,
 	}}
 }
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -121,7 +121,7 @@
 // Traffic returns the totals of all connections to entries so far.
 func (a *Agent) Traffic() connector.Totals { return a.counts.Totals() }
 
-// Ready is closed once the agent serves.
+// Ready returns a channel that is closed once the agent serves.
 func (a *Agent) Ready() <-chan struct{} { return a.ready }
 
 // Run serves until the context is cancelled, then drains and returns.
@@ -189,7 +189,8 @@
 }
 
 // transferTimeout bounds how long an agent that leaves waits until a successor has
-// its records. The pieces and the write of the roster take well under a second.
+// its records. Sending the records in pieces and writing the roster take well under a
+// second.
 const transferTimeout = 5 * time.Second
 
 // reconnectTimeout bounds how long the transfer waits for an entry while none is
--- a/internal/agent/secure.go
+++ b/internal/agent/secure.go
@@ -10,7 +10,7 @@
 	"sardinelock.dev/sardinelock/internal/connector"
 )
 
-// certificateCheckInterval is the interval at which the TLS files are read again.
+// certificateCheckInterval is the interval at which the TLS files are reloaded.
 const certificateCheckInterval = 5 * time.Second
 
 // secure wraps the listener for announcements in TLS if there are TLS settings and the
@@ -38,7 +38,7 @@
 	return a.settings.TLS.HTTPClient()
 }
 
-// watchCertificates reloads the TLS files at each interval.
+// watchCertificates reloads the TLS files periodically.
 func (a *Agent) watchCertificates() {
 	if a.settings.TLS == nil {
 		return
--- a/internal/broker/drain.go
+++ b/internal/broker/drain.go
@@ -4,8 +4,8 @@
 
 const (
 	// stopAdmittingBefore is how long before the end of the grace period the entry begins
-	// to reject new jobs. It is the longest latency objective, so that the jobs before
-	// can be finished. abandonBefore is how long before the end the jobs that remain are
+	// to reject new jobs. It is the longest latency objective, so that the jobs that
+	// were admitted before can be finished. abandonBefore is how long before the end the jobs that remain are
 	// answered without a result.
 	stopAdmittingBefore = 2500 * time.Millisecond
 	abandonBefore       = 700 * time.Millisecond
@@ -18,18 +18,19 @@
 )
 
 // Drain makes the entry report that it is not ready and serves until every job has its
-// answer, at most for the grace period. It serves at least for the notice, in which the
-// load balancer may still send jobs because it has not seen the change.
+// answer. It serves at least for the notice, in which the load balancer may still send
+// jobs because it has not seen the change. Shortly before the end of the grace period it
+// abandons the jobs that remain.
 func (b *Broker) Drain(grace, notice time.Duration) {
 	b.settings.Journal.Line("draining").Msg("")
 	b.draining.Store(true)
 	start := time.Now()
-	closed := false
+	admissionStopped := false
 	for time.Since(start) < grace-abandonBefore {
 		time.Sleep(drainPollInterval)
-		if !closed && time.Since(start) >= grace-stopAdmittingBefore {
+		if !admissionStopped && time.Since(start) >= grace-stopAdmittingBefore {
 			b.StopAdmitting()
-			closed = true
+			admissionStopped = true
 		}
 		if time.Since(start) >= notice && b.Outstanding() == 0 {
 			break
--- a/internal/broker/error.go
+++ b/internal/broker/error.go
@@ -1,6 +1,6 @@
 package broker
 
-// Kind says what went wrong in a broker.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of errors of this package.
--- a/internal/broker/peers.go
+++ b/internal/broker/peers.go
@@ -125,8 +125,8 @@
 	return &messenger.Frame{Config: &messenger.Config{Version: b.version(), Document: b.document}}
 }
 
-// sendRoutes sends the addresses of all known entries to agents and entries, at most once
-// in each routesInterval.
+// sendRoutes sends the addresses of all known entries to agents and entries, once in each
+// routesInterval and without delay after a new connection.
 func (b *Broker) sendRoutes(now time.Time) {
 	if now.Sub(b.routesSentAt) < routesInterval {
 		return
--- a/internal/connector/conn.go
+++ b/internal/connector/conn.go
@@ -157,7 +157,7 @@
 	}, nil
 }
 
-// exchangeHello sends the own hello and returns the peer's.
+// exchangeHello sends this process's hello and returns the peer's.
 func exchangeHello(ctx context.Context, ws *websocket.Conn, own *messenger.Hello, counts *Counts) (*messenger.Hello, error) {
 	const op = "handshake"
 	var buf bytes.Buffer
--- a/internal/dispatcher/admin.go
+++ b/internal/dispatcher/admin.go
@@ -42,7 +42,7 @@
 		Objects:   e.platform.Objects,
 		PutObject: e.platform.PutObject,
 		Now:       time.Now,
-		Pause:     e.platform.Sleep,
+		Sleep:     e.platform.Sleep,
 
 		ConfigTimeout: administrator.DefaultConfigTimeout,
 	})
--- a/internal/dispatcher/auth.go
+++ b/internal/dispatcher/auth.go
@@ -29,7 +29,7 @@
 	}
 	set, err := authenticator.New(configCredentials(config))
 	if err != nil {
-		e.settings.Logger.Error().Err(err).Msg("cannot decode the token hashes of the configuration")
+		e.settings.Logger.Error().Err(err).Msg("cannot decode the token hashes of a configuration version; the previous tokens, if any, stay valid")
 		if cached == nil {
 			return nil
 		}
--- a/internal/dispatcher/error.go
+++ b/internal/dispatcher/error.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind says what went wrong in an entry.
+// Kind classifies the errors of this package.
 type Kind string
 
 // The kinds of errors of this package.
--- a/internal/dispatcher/tls.go
+++ b/internal/dispatcher/tls.go
@@ -49,7 +49,7 @@
 		changed, err := e.settings.TLS.Reload()
 		switch {
 		case err != nil:
-			e.settings.Logger.Warn().Err(err).Msg("cannot reload the TLS files; continuing with the previous ones")
+			e.settings.Logger.Warn().Err(err).Msg("cannot reload the TLS files; the previous certificates stay in use")
 		case changed:
 			e.settings.Logger.Info().Str("event", "tls-reloaded").Time("expiry", e.settings.TLS.Expiry()).Msg("reloaded the TLS files")
 		}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -180,8 +180,8 @@
 	return err
 }
 
-// dial connects to entries. While tasks of closed sessions or
-// orphan runs remain, it does nothing.
+// dial connects to entries. While tasks of closed sessions or orphan runs remain, it does
+// nothing.
 func (k *Keeper) dial(now time.Time) {
 	if k.runner.HasOrphans() {
 		return
@@ -239,9 +239,9 @@
 }
 
 // Announce applies an announcement of the upstream and reports whether it was accepted.
-func (k *Keeper) Announce(u runner.Announcement) (taken bool) {
-	k.loop.Call(func(now time.Time) { taken = k.runner.Announce(k.loop.Elapsed(now), u) })
-	return taken
+func (k *Keeper) Announce(u runner.Announcement) (accepted bool) {
+	k.loop.Call(func(now time.Time) { accepted = k.runner.Announce(k.loop.Elapsed(now), u) })
+	return accepted
 }
 
 // Leave is called when the upstream of the given id has announced that it leaves.
--- a/internal/launcher/launcher.go
+++ b/internal/launcher/launcher.go
@@ -29,7 +29,7 @@
 	"sardinelock.dev/sardinelock/pkg/submitter"
 )
 
-// The shape of an upstream.
+// Properties of the upstreams and of the whole system.
 const (
 	upstreamSlots       = 8
 	upstreamConnections = 64
--- a/internal/linker/linker.go
+++ b/internal/linker/linker.go
@@ -34,7 +34,7 @@
 	ackTimeout = 2 * time.Second
 )
 
-// Hooks are called on the control thread.
+// Hooks are called on the control thread, except DialFailed.
 type Hooks struct {
 	// Up is called with each new connection. If it returns false, the connection is closed.
 	Up func(now time.Time, c *connector.Conn) bool
@@ -42,8 +42,7 @@
 	Receive func(now time.Time, c *connector.Conn, f *messenger.Frame)
 	// Down is called when a connection that Up accepted has ended.
 	Down func(now time.Time, c *connector.Conn, cause error)
-	// DialFailed is called when a dial has failed. Unlike the others it is called on the
-	// goroutine of the dial.
+	// DialFailed is called when a dial has failed, on the goroutine of the dial.
 	DialFailed func(addr netip.AddrPort, err error)
 }
 
@@ -140,9 +139,9 @@
 // reports whether the Up hook accepted the connection. It must not be called on the
 // control thread.
 func (l *Linker) Serve(conn *connector.Conn) bool {
-	taken := false
-	l.loop.Call(func(now time.Time) { taken = l.hooks.Up(now, conn) })
-	if !taken {
+	accepted := false
+	l.loop.Call(func(now time.Time) { accepted = l.hooks.Up(now, conn) })
+	if !accepted {
 		conn.Close()
 		return false
 	}
--- a/internal/versioner/change.go
+++ b/internal/versioner/change.go
@@ -15,7 +15,8 @@
 	"sardinelock.dev/sardinelock/internal/storer"
 )
 
-const retryPause = 250 * time.Millisecond
+// retryDelay is the delay between two attempts of a change.
+const retryDelay = 250 * time.Millisecond
 
 // Change is a request for a new version.
 type Change struct {
@@ -99,7 +100,7 @@
 		}
 		last = err
 		if ctx.Err() == nil {
-			r.Pause(ctx, retryPause)
+			r.Sleep(ctx, retryDelay)
 		}
 		if ctx.Err() != nil {
 			return a.timedOut(last), nil
@@ -150,7 +151,7 @@
 			Op:     "apply",
 			Kind:   KindInvalid,
 			Number: successor.Number,
-			Err:    errors.Errorf("the change id %s is that of another change", a.change.ID),
+			Err:    errors.Errorf("the change id %s was used for another change", a.change.ID),
 		}
 	}
 	return a.accepted(), true, nil
--- a/internal/versioner/versioner.go
+++ b/internal/versioner/versioner.go
@@ -35,9 +35,9 @@
 	Write     func(ctx context.Context, t storer.Transaction) (storer.Outcome, error)
 	PutObject func(ctx context.Context, key string, body []byte) error
 	Object    func(ctx context.Context, key string) ([]byte, error)
-	// Now and Pause read the clock and sleep; tests replace them.
+	// Now reads the clock, and Sleep waits between attempts; tests replace them.
 	Now   func() time.Time
-	Pause func(ctx context.Context, d time.Duration)
+	Sleep func(ctx context.Context, d time.Duration)
 }
 
 // New returns a versioner that calls the platform through the client.
@@ -48,7 +48,7 @@
 		PutObject: c.PutObject,
 		Object:    c.Object,
 		Now:       time.Now,
-		Pause:     c.Sleep,
+		Sleep:     c.Sleep,
 	}
 }
 
--- a/internal/versioner/versioner_test.go
+++ b/internal/versioner/versioner_test.go
@@ -51,7 +51,7 @@
 		},
 		Object: func(context.Context, string) ([]byte, error) { return nil, errLost },
 		Now:    time.Now,
-		Pause:  func(_ context.Context, d time.Duration) { time.Sleep(d) },
+		Sleep:  func(_ context.Context, d time.Duration) { time.Sleep(d) },
 	}
 }
 
@@ -327,6 +327,6 @@
 			return body, nil
 		},
 		Now:   time.Now,
-		Pause: func(context.Context, time.Duration) {},
+		Sleep: func(context.Context, time.Duration) {},
 	}
 }
