--- a/internal/applier/applier.go
+++ b/internal/applier/applier.go
@@ -156,8 +156,8 @@
 		a.headReadStarted = now
 		a.out.ReadHead = true
 	}
-	if fresh := a.confirmedRecently(now); fresh != a.tableConfirmed {
-		a.tableConfirmed = fresh
+	if confirmed := a.confirmedRecently(now); confirmed != a.tableConfirmed {
+		a.tableConfirmed = confirmed
 		a.dirty = true
 	}
 	if !now.Before(a.nextPeerScan) || a.documentMissing() {
--- a/internal/applier/register.go
+++ b/internal/applier/register.go
@@ -168,15 +168,15 @@
 	return now.Sub(r.inForceSince)
 }
 
-// state returns the state of the process. The parameter says whether the process would
-// learn of a later version.
-func (r *versionTracker) state(fresh bool) State {
+// state returns the state of the process. canLearnLatest is set if the process would learn
+// of a later version.
+func (r *versionTracker) state(canLearnLatest bool) State {
 	switch {
 	case r.inForce.Number == 0:
 		return StateNone
 	case r.highest > r.inForce.Number:
 		return StateBehind
-	case !fresh:
+	case !canLearnLatest:
 		return StateUnconfirmed
 	}
 	return StateCurrent
--- a/internal/configurer/config.go
+++ b/internal/configurer/config.go
@@ -117,8 +117,8 @@
 	// DeadlineRatio is the share of a job's deadline, from 0 to 1, that the expected wait
 	// and run time may take for the job to be admitted.
 	DeadlineRatio float64
-	// MinSamples is the number of results of a service from which on measured values
-	// replace declared ones. It is positive.
+	// MinSamples is the number of results of a service after which measured values replace
+	// declared ones. It is positive.
 	MinSamples int
 }
 
--- a/internal/configurer/field.go
+++ b/internal/configurer/field.go
@@ -47,12 +47,12 @@
 }
 
 // capped returns a field that rejects values above a limit of the system.
-func capped[T any](f field[T], most string, exceeds func(*T) bool) field[T] {
+func capped[T any](f field[T], maximum string, exceeds func(*T) bool) field[T] {
 	read := f.read
 	f.read = func(r *reader, n ast.Node, path string, into *T) {
 		read(r, n, path, into)
 		if exceeds(into) {
-			r.fault(n, "must be at most %s", most)
+			r.fault(n, "must be at most %s", maximum)
 		}
 	}
 	return f
@@ -193,15 +193,15 @@
 }
 
 // count returns a field of an integer that is at least the given minimum.
-func count[T any, N int | int64](key string, tune bool, least int64, help string, get func(*T) *N) field[T] {
+func count[T any, N int | int64](key string, tune bool, minimum int64, help string, get func(*T) *N) field[T] {
 	f := field[T]{key: key, kind: "integer", help: help, tunable: tune}
 	f.read = func(r *reader, n ast.Node, _ string, into *T) {
 		number, ok := r.integer(n)
 		if !ok {
 			return
 		}
-		if number < least {
-			r.fault(n, "must be at least %d, not %d", least, number)
+		if number < minimum {
+			r.fault(n, "must be at least %d, not %d", minimum, number)
 			return
 		}
 		*get(into) = N(number)
@@ -227,15 +227,15 @@
 }
 
 // number returns a field of a number that is at least the given minimum.
-func number[T any](key string, tune bool, least float64, help string, get func(*T) *float64) field[T] {
+func number[T any](key string, tune bool, minimum float64, help string, get func(*T) *float64) field[T] {
 	f := field[T]{key: key, kind: "number", help: help, tunable: tune}
 	f.read = func(r *reader, n ast.Node, _ string, into *T) {
 		value, ok := r.number(n)
 		if !ok {
 			return
 		}
-		if value < least {
-			r.fault(n, "must be at least %s, not %s", formatFloat(least), formatFloat(value))
+		if value < minimum {
+			r.fault(n, "must be at least %s, not %s", formatFloat(minimum), formatFloat(value))
 			return
 		}
 		*get(into) = value
--- a/internal/configurer/reader.go
+++ b/internal/configurer/reader.go
@@ -39,8 +39,7 @@
 	return Origin{File: r.file, Line: line, Column: column}
 }
 
-// position returns the position at which a node begins, which for a mapping is that of its
-// first key.
+// position returns the position at which a node begins. A mapping begins at its first key.
 func position(n ast.Node) (line, column int) {
 	switch m := n.(type) {
 	case *ast.MappingNode:
--- a/internal/experimenter/experiment_test.go
+++ b/internal/experimenter/experiment_test.go
@@ -85,7 +85,7 @@
 		case "burst-at":
 			sc.BurstAt = scripter.Duration(b.t, value)
 		case "burst-for":
-			sc.BurstFor = scripter.Duration(b.t, value)
+			sc.BurstDuration = scripter.Duration(b.t, value)
 		case "flood":
 			sc.Overload = b.number(value)
 		case "declared-error":
--- a/internal/experimenter/ideal.go
+++ b/internal/experimenter/ideal.go
@@ -8,9 +8,9 @@
 )
 
 // RunIdeal runs a workload through a single queue over all slots. The scheduler knows the
-// actual run times, the current state of every slot, which upstreams are failing or
-// slow, and when agents crash. It does not use failing or slow upstreams. It serves the job with the
-// least remaining work first. Messages take the mean delay of the links.
+// actual run times, the current state of every slot, which upstreams are failing or slow,
+// and when agents crash. It does not use failing or slow upstreams. It serves the job with
+// the least remaining work first. Messages take the mean delay of the links.
 func RunIdeal(sc *Scenario, w *Workload) *Result {
 	s := &ideal{scenario: sc, workload: w, clock: &clock{}, result: &Result{Jobs: make([]JobResult, len(w.Jobs))}}
 	s.remaining = make([]int, len(w.Jobs))
--- a/internal/experimenter/scenario.go
+++ b/internal/experimenter/scenario.go
@@ -53,10 +53,10 @@
 	Teams    int
 	Sizes    SizeKind
 	Load     float64 // Load is the offered work relative to the capacity of all slots.
-	// Burst multiplies the load from BurstAt for BurstFor.
-	Burst    float64
-	BurstAt  time.Duration
-	BurstFor time.Duration
+	// Burst multiplies the load for BurstDuration from BurstAt.
+	Burst         float64
+	BurstAt       time.Duration
+	BurstDuration time.Duration
 	// Overload is the work that team 0 offers in addition to the load, relative to the
 	// capacity of all slots.
 	Overload float64
--- a/internal/experimenter/workload.go
+++ b/internal/experimenter/workload.go
@@ -38,7 +38,7 @@
 	rate := sc.Load * capacity / meanWork
 	for at := time.Duration(0); ; {
 		currentRate := rate
-		if sc.Burst > 0 && at >= sc.BurstAt && at < sc.BurstAt+sc.BurstFor {
+		if sc.Burst > 0 && at >= sc.BurstAt && at < sc.BurstAt+sc.BurstDuration {
 			currentRate *= sc.Burst
 		}
 		at += seconds(random.ExpFloat64() / currentRate)
@@ -61,7 +61,7 @@
 	var added []Job
 	for at := sc.BurstAt; ; {
 		at += seconds(random.ExpFloat64() / rate)
-		if at >= sc.Duration || sc.BurstFor > 0 && at >= sc.BurstAt+sc.BurstFor {
+		if at >= sc.Duration || sc.BurstDuration > 0 && at >= sc.BurstAt+sc.BurstDuration {
 			break
 		}
 		added = append(added, newJob(sc, random, at, 0))
