--- a/internal/replayer/agent.go
+++ b/internal/replayer/agent.go
@@ -240,7 +240,7 @@
 			}
 		})
 	})
-	w.after(pollTimeout+callTimeout, func() { handleListing(nil) })
+	w.after(pollWait+callTimeout, func() { handleListing(nil) })
 }
 
 func (a *agent) kill() {
--- a/internal/replayer/replayer.go
+++ b/internal/replayer/replayer.go
@@ -26,8 +26,8 @@
 	localDelay = 300 * time.Microsecond
 	// tickInterval is the interval at which a process runs its timers.
 	tickInterval = 20 * time.Millisecond
-	// pollTimeout, callTimeout and maxStartAttempts equal the settings of an agent's process.
-	pollTimeout      = 60 * time.Millisecond
+	// pollWait, callTimeout and maxStartAttempts equal the constants of package keeper.
+	pollWait         = 60 * time.Millisecond
 	callTimeout      = 50 * time.Millisecond
 	maxStartAttempts = 4
 	// reconnectDelay is the time that a new connection takes to establish.
--- a/internal/replayer/upstream.go
+++ b/internal/replayer/upstream.go
@@ -189,7 +189,7 @@
 		return
 	}
 	u.waitingPolls = append(u.waitingPolls, reply)
-	u.world.after(pollTimeout, reply)
+	u.world.after(pollWait, reply)
 }
 
 func (u *upstream) listing() runner.Listing {
