--- a/internal/replayer/agent.go
+++ b/internal/replayer/agent.go
@@ -26,7 +26,7 @@
 	backlog     []func()
 }
 
-// announceInterval is the period at which an upstream announces itself.
+// announceInterval is the interval at which an upstream announces itself.
 const announceInterval = 1500 * time.Millisecond
 
 func newAgent(w *world, index int) *agent {
@@ -240,7 +240,7 @@
 			}
 		})
 	})
-	w.after(pollTimeout+callTimeout, func() { handleListing(nil) })
+	w.after(pollWait+callTimeout, func() { handleListing(nil) })
 }
 
 func (a *agent) kill() {
