--- a/internal/versioner/change.go
+++ b/internal/versioner/change.go
@@ -151,7 +151,7 @@
 			Op:     "apply",
 			Kind:   KindInvalid,
 			Number: successor.Number,
-			Err:    errors.Errorf("the change id %s was used for another change", a.change.ID),
+			Err:    errors.Errorf("the change id %s is that of another change", a.change.ID),
 		}
 	}
 	return a.accepted(), true, nil
